--- a/crates/courseshed-dispatch/src/config.rs
+++ b/crates/courseshed-dispatch/src/config.rs
@@ -1,88 +1,95 @@
-//! Constants of a dispatcher, with the defaults that the experiments were run with.
+//! Dispatcher configuration and its defaults.
 
 use std::time::Duration;
 
 use courseshed_types::Tokens;
 
-/// How a dispatcher decides.
+/// Scheduling policy of a dispatcher.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PolicyKind {
-    /// Hierarchical shares, program-aware order, cache-aware engines, leases during pauses.
+    /// Hierarchical fair sharing, program-aware ordering, cache-aware engine selection, and cache
+    /// leases during pauses.
     #[default]
     Courseshed,
-    /// Baseline: first come first served, engine with the least load.
+    /// Baseline: FIFO order, least-loaded engine.
     FirstComeLeastLoad,
-    /// Baseline: first come first served, engine that holds the program's prefix.
+    /// Baseline: FIFO order, engine that caches the program's prefix.
     PrefixAffinity,
-    /// Baseline: shares between branches by tokens of each call (virtual token counters), prefix affinity.
+    /// Baseline: per-branch fair sharing by the tokens of each call (Virtual Token Counter), with
+    /// prefix affinity.
     PerCallFair,
 }
 
-/// Constants of a dispatcher.
+/// Dispatcher configuration.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatcherConfig {
-    /// Units of service of one uncached prompt token.
+    /// Service units per uncached prompt token.
     pub prefill_weight: u64,
-    /// Units of service of one generated token.
+    /// Service units per generated token.
     pub decode_weight: u64,
-    /// Service by which one step of priority may overtake the shares, in units.
+    /// Service, in units, by which one priority step may run ahead of fair shares.
     pub warp_per_priority: u64,
-    /// Most steps of priority that count.
+    /// Priorities are clamped to plus or minus this many steps.
     pub priority_steps: i32,
-    /// Batch assumed of an engine that has not reported yet.
+    /// Batch size assumed for an engine that has not reported its load.
     pub assumed_batch: u32,
-    /// Calls sent ahead of an engine's free slots, as a part of its batch, so that it never idles.
+    /// Calls sent beyond an engine's free slots, as a fraction of its batch size, to keep the
+    /// engine from idling.
     pub send_ahead: f64,
-    /// Urgent calls sent to an engine whose slots are taken by less urgent ones, as a part of its batch; the
-    /// engine lets them overtake.
+    /// Urgent calls sent to an engine whose slots are taken by less urgent calls, as a fraction of
+    /// its batch size. The engine schedules the urgent calls first.
     pub urgent_ahead: f64,
-    /// Part of an engine's KV memory that calls under way may fill.
+    /// Fraction of an engine's KV memory that in-flight calls and leases may occupy.
     pub memory_limit: f64,
-    /// Units of service that a full engine costs against an empty one in the choice.
+    /// Selection cost of a fully loaded engine relative to an idle one, in service units.
     pub load_penalty: u64,
-    /// Units of service that another zone costs in the choice.
+    /// Selection cost of an engine in another zone, in service units.
     pub zone_penalty: u64,
-    /// Longest wait for the engine that holds a call's prefix while another has room.
+    /// Maximum time a call is parked for the engine that caches its prefix while another engine has
+    /// capacity.
     pub affinity_wait: Duration,
-    /// Shorter waits are not worth it.
+    /// A call is not parked if the expected wait is shorter than this.
     pub least_affinity_wait: Duration,
-    /// Calls that may wait so for one engine, as a part of its batch.
+    /// Maximum number of calls parked for one engine, as a fraction of its batch size.
     pub affinity_ahead: f64,
-    /// Prompt tokens an engine is assumed to compute a second.
+    /// Assumed prefill throughput of an engine, in prompt tokens per second.
     pub prefill_tokens_per_second: u64,
-    /// Prefix tokens an engine's link is assumed to move a second, in or out.
+    /// Assumed bandwidth of an engine's link for prefix export and import, in tokens per second.
     pub transfer_tokens_per_second: u64,
-    /// Prefix tokens of paused programs that may be kept outside of engines; zero keeps none.
+    /// Maximum number of prefix tokens of paused programs stored outside engines; zero disables
+    /// export.
     pub export_capacity: Tokens,
-    /// Calls that may wait in the pool before the dispatcher sheds.
+    /// Queue length of the pool above which calls are shed.
     pub max_waiting: usize,
-    /// Calls each branch may always have waiting, whatever the others do.
+    /// Queue length of a branch up to which its calls are not shed before their deadline.
     pub min_branch_waiting: usize,
-    /// How long smaller calls may pass a call that fits no engine; then an engine is kept free for it.
+    /// How long smaller calls may bypass a call that fits on no engine before an engine is reserved
+    /// for it.
     pub pass_over: Duration,
-    /// A call is refused at once if the wait expected of it is so many times the wait its branch allows.
+    /// The last calls of a queue are shed if their expected wait exceeds their remaining queue time
+    /// by this factor.
     pub hopeless_wait: f64,
-    /// After this an assignment that was not confirmed is sent again.
+    /// Interval after which an unconfirmed assignment is resent.
     pub assignment_resend: Duration,
-    /// How long a rebuilt dispatcher waits for shards to announce their calls.
+    /// How long a new dispatcher waits for shards to announce their calls.
     pub announce_grace: Duration,
-    /// First ejection of an engine that fails.
+    /// Duration of an engine's first ejection.
     pub ejection: Duration,
-    /// Longest ejection.
+    /// Maximum duration of an ejection.
     pub max_ejection: Duration,
-    /// Failures in a row after which an engine is ejected.
+    /// Consecutive failures after which an engine is ejected.
     pub failures_to_eject: u32,
-    /// Calls an engine is tried with after an ejection until one of them ends well.
+    /// Concurrent calls allowed on an engine after an ejection until one of them succeeds.
     pub probe_calls: u32,
-    /// Time over which an engine that comes back is given its whole batch.
+    /// Slow-start time over which a recovered engine ramps up to its full batch size.
     pub slow_start: Duration,
     /// Time to live of a cache lease.
     pub lease: Duration,
-    /// Longest hold of a paused program's prefix.
+    /// Maximum time the prefix of a paused program is leased.
     pub max_hold: Duration,
-    /// Age after which a load report no longer counts.
+    /// Age after which a load report is ignored.
     pub stale_report: Duration,
-    /// After this a paused program that was not heard of is forgotten.
+    /// Time without messages after which a paused program is dropped.
     pub forget_program: Duration,
 }
 
--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -1,4 +1,4 @@
-//! The dispatcher of one pool, as its drivers see it.
+//! Public interface of the dispatcher of one pool.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -30,13 +30,13 @@
     },
 };
 
-/// Time in which the rate of calls served fades.
+/// Time constant of the queue drain rate.
 const DRAIN_FADE: Duration = Duration::from_secs(20);
 
-/// Decides for one pool whose call runs on which engine. Free of I/O and deterministic: the same calls at the same
-/// times give the same outputs.
+/// Schedules the calls of one pool onto its engines. Performs no I/O and is deterministic: the same
+/// inputs at the same times give the same outputs.
 ///
-/// Drivers feed it what arrives, call [`Dispatcher::tick`] after each batch of input and at
+/// Drivers pass in incoming messages, call [`Dispatcher::tick`] after each batch of input and at
 /// [`Dispatcher::next_wakeup`], and send what [`Dispatcher::take_outputs`] returns.
 #[derive(Debug)]
 pub struct Dispatcher {
@@ -44,7 +44,8 @@
 }
 
 impl Dispatcher {
-    /// A dispatcher that knows nothing yet. Its identity must differ from every earlier dispatcher of the pool.
+    /// Creates an empty dispatcher. Its identity must differ from that of every earlier dispatcher
+    /// of the pool.
     pub fn new(
         pool: PoolId,
         identity: DispatcherIdentity,
@@ -85,13 +86,13 @@
         Dispatcher { state }
     }
 
-    /// The pool it decides for.
+    /// The pool this dispatcher schedules.
     pub fn pool(&self) -> &PoolId {
         &self.state.pool
     }
 
-    /// Asks shards for all their calls in this pool; a driver that knows the shards' leaders calls this at once
-    /// after making the dispatcher.
+    /// Asks the leaders of shards to announce their calls in this pool. A driver that knows the
+    /// leaders should call this right after creating the dispatcher.
     pub fn ask_announcements(&mut self, shards: &[ShardLeader]) {
         for shard in shards {
             let event = courseshed_types::dispatch::DispatchEvent {
@@ -105,12 +106,13 @@
         }
     }
 
-    /// Takes what a shard's leader says. Messages may come twice or late.
+    /// Handles a message from a shard leader. Messages may be duplicated or delayed.
     pub fn on_request(&mut self, now: Timestamp, request: DispatchRequest) {
         intake::take(&mut self.state, now, request);
     }
 
-    /// Takes a settings version over; older ones are dropped. Accounts of branches that stay are kept.
+    /// Applies a policy snapshot; older versions are ignored. Accounting state of branches that
+    /// remain is preserved.
     pub fn on_policy(&mut self, now: Timestamp, policy: Arc<PolicySnapshot>) {
         let state = &mut self.state;
         if policy.version < state.policy.version {
@@ -132,32 +134,32 @@
         }
     }
 
-    /// Takes the list of engines over; it names all engines, also those of other pools.
+    /// Applies the engine directory, which lists the engines of all pools.
     pub fn on_engines(&mut self, now: Timestamp, engines: &[EngineMember]) {
         engine_health::take_directory(&mut self.state, now, engines);
     }
 
-    /// Takes an engine's load report, which lags.
+    /// Handles a load report from an engine; reports lag behind the engine's state.
     pub fn on_engine_load(&mut self, now: Timestamp, engine: &EngineId, load: EngineLoad) {
         engine_health::take_load(&mut self.state, now, engine, load);
     }
 
-    /// Takes an event of an engine's prefix cache; events come late and with gaps.
+    /// Handles a prefix cache event from an engine. Events may be late and have gaps.
     pub fn on_cache_event(&mut self, _now: Timestamp, engine: &EngineId, event: CacheEvent) {
         cache_view::take_event(&mut self.state, engine, event);
     }
 
-    /// Takes an engine's own whole listing of cached prefixes.
+    /// Handles a full listing of an engine's cached prefixes.
     pub fn on_cache_listing(&mut self, now: Timestamp, engine: &EngineId, listing: &[LeaseEntry]) {
         cache_view::take_listing(&mut self.state, now, engine, listing);
     }
 
-    /// An engine can't be reached.
+    /// Handles a report that an engine is unreachable.
     pub fn on_engine_unreachable(&mut self, now: Timestamp, engine: &EngineId) {
         engine_health::unreachable(&mut self.state, now, engine);
     }
 
-    /// Runs the systems.
+    /// Runs due timers, then assignment, shedding and liveness checks.
     pub fn tick(&mut self, now: Timestamp) {
         expiry::run(&mut self.state, now);
         assignment::run(&mut self.state, now);
@@ -165,29 +167,29 @@
         liveness::run(&mut self.state, now);
     }
 
-    /// What is to be sent since the last call.
+    /// Returns and clears the pending outputs.
     pub fn take_outputs(&mut self) -> Vec<DispatchOutput> {
         mem::take(&mut self.state.outputs)
     }
 
-    /// When [`Dispatcher::tick`] must run even if nothing arrives.
+    /// When [`Dispatcher::tick`] must run next even without new input.
     pub fn next_wakeup(&self) -> Option<Timestamp> {
         self.state.timers.next()
     }
 
-    /// Why a call waits; none if it does not wait here.
+    /// Explains why a call is queued; `None` if it is not queued in this pool.
     pub fn explain(&self, now: Timestamp, call: CallId) -> Option<WaitExplanation> {
         explain::explain(&self.state, now, call)
     }
 
-    /// Service that calls asked for of late, for placement; none until enough was seen.
+    /// Recent demand for service, for placement; `None` until enough samples were recorded.
     pub fn demand(&self, now: Timestamp) -> Option<PoolDemand> {
         let prefill = self.state.demand.prefill.per_second(now)?;
         let decode = self.state.demand.decode.per_second(now)?;
         Some(PoolDemand { prefill, decode })
     }
 
-    /// Counters and tables for operators. Costs time in proportion to branches and engines.
+    /// Counters and tables for operators. Takes time linear in the number of branches and engines.
     pub fn stats(&self, now: Timestamp) -> DispatcherStats {
         explain::stats(&self.state, now)
     }
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -1,4 +1,4 @@
-//! Answers operators' questions from the tables, without changing them.
+//! Read-only diagnostics: wait explanations and statistics.
 
 use std::collections::BTreeMap;
 
@@ -15,7 +15,7 @@
     units::Service,
 };
 
-/// Why a call waits.
+/// Explains why a call is queued; `None` if it is not queued.
 pub(crate) fn explain(state: &State, now: Timestamp, call: CallId) -> Option<WaitExplanation> {
     let entry = state.calls.get(&call)?;
     if !entry.is_waiting() {
@@ -34,7 +34,6 @@
     })
 }
 
-/// Everything for operators.
 pub(crate) fn stats(state: &State, now: Timestamp) -> DispatcherStats {
     let waiting = state.calls.waiting();
     DispatcherStats {
@@ -48,7 +47,8 @@
     }
 }
 
-/// The call's place, by playing the order out on a copy of the tree with the charges that are expected.
+/// Position of the call in the scheduling order, found by simulating the order with expected
+/// charges on a copy of the tree.
 fn position(state: &State, call: CallId) -> u32 {
     let is_queued = state
         .calls
@@ -73,7 +73,7 @@
     place
 }
 
-/// What a call will be charged if it finds its prefix.
+/// The expected charge of a call, assuming it finds its prefix cached.
 fn expected_charge(state: &State, call: CallId) -> Service {
     let program = state.programs.get(&call.program);
     let prefix = program.and_then(|program| program.prefix.as_ref());
@@ -81,7 +81,7 @@
     assignment::expected_service(state, call, cached)
 }
 
-/// The branch's part of the service given lately.
+/// The branch's fraction of recently charged service.
 fn attained(tree: &BranchTable, index: NodeIndex) -> f64 {
     let pool = tree.node(NodeIndex::ROOT);
     let all = pool.recent.at(pool.served);
@@ -92,7 +92,7 @@
 fn reason(state: &State, now: Timestamp, call: CallId, entitled: f64, attained: f64) -> String {
     if let Some(CallPhase::Parked(parking)) = state.calls.get(&call).map(|entry| &entry.phase) {
         let engine = &parking.engine;
-        return format!("the call waits a moment for engine {engine}, which holds its prefix");
+        return format!("the call waits for engine {engine}, which caches its prefix");
     }
     let live = |state_of: EngineState| state_of == EngineState::Live;
     if !state
@@ -103,16 +103,17 @@
         return "no live engine serves the model".to_string();
     }
     if now < state.grace_until {
-        return "the dispatcher has just started and learns what runs".to_string();
+        return "the dispatcher has just started and is waiting for announcements and load reports"
+            .to_string();
     }
     if engine_choice::any_room(state, now, call) {
-        return "engines have free slots but not the memory this call needs".to_string();
+        return "engines have free slots but not enough KV memory for this call".to_string();
     }
     if attained > entitled {
-        return "all engines are full and the branch has had more than its share of late"
+        return "all engines are full and the branch has recently used more than its share"
             .to_string();
     }
-    "all engines are full and calls before it in the order wait too".to_string()
+    "all engines are full and other calls are ahead in the queue".to_string()
 }
 
 fn branch_stats(state: &State) -> Vec<BranchStats> {
--- a/crates/courseshed-dispatch/src/lib.rs
+++ b/crates/courseshed-dispatch/src/lib.rs
@@ -1,18 +1,20 @@
-//! The dispatcher: tables and systems that decide whose call runs on which engine.
+//! Request dispatcher: decides which engine runs each queued call.
 //!
-//! One [`Dispatcher`] decides for one pool: the engines of a region that serve one model. It is free of I/O and
-//! deterministic; the daemon and the simulator drive the same code. Its state is soft: shard leaders announce their
-//! calls to a new dispatcher, engines report their load, and what can't be known is left for late corrections.
+//! A [`Dispatcher`] schedules one pool, that is, the engines of a region that serve one model. It
+//! performs no I/O and is deterministic; the daemon and the simulator drive the same code. Its
+//! state is soft: after a restart it is rebuilt from the announcements of shard leaders and the
+//! load reports of engines, and estimates are corrected as usage is reported.
 //!
 //! - `tables`: branches, calls, engines, programs, shards, timers;
-//! - `systems`: intake of messages, fair sharing, order inside a branch, choice of engine, assignment, pauses and
-//!   leases, the view of caches, engine health, shedding, expiry;
-//! - `learn`: distributions learned online;
-//! - `baselines`: what each policy kind is made of;
-//! - [`placement`]: which models, adapters and roles engines hold.
+//! - `systems`: message handling, fair sharing, ordering within a branch, engine selection,
+//!   assignment, pauses and leases, prefix cache tracking, engine health, load shedding, timers;
+//! - `learn`: distributions estimated online;
+//! - `baselines`: the components of each policy kind;
+//! - [`placement`]: which models, adapters and roles each engine holds.
 //!
-//! Safety does not rest here: an assignment takes effect only when the shard has committed it, and a call that is
-//! refused here was never sent to an engine by this dispatcher's word.
+//! Correctness does not depend on the dispatcher: an assignment takes effect only once the shard
+//! has committed it, and the dispatcher rejects a call only while it has not assigned it to an
+//! engine.
 
 mod baselines;
 mod config;
--- a/crates/courseshed-dispatch/src/output.rs
+++ b/crates/courseshed-dispatch/src/output.rs
@@ -1,4 +1,4 @@
-//! What a dispatcher wants sent, and what it tells operators.
+//! Dispatcher outputs and operator statistics.
 
 use std::collections::BTreeMap;
 
@@ -7,161 +7,161 @@
     dispatch::{DispatchEvent, EngineOrder, EngineState},
 };
 
-/// Something to send; the driver sends it and need not keep it.
+/// A message for the driver to send. Delivery need not be reliable.
 #[derive(Debug, Clone, PartialEq)]
 pub enum DispatchOutput {
-    /// To the node that leads a shard.
+    /// A message to the leader of a shard.
     Event {
-        /// The node.
+        /// The leader's node.
         to: NodeId,
-        /// What is said.
+        /// The message.
         event: DispatchEvent,
     },
-    /// To an engine.
+    /// An order to an engine.
     Order(EngineOrder),
 }
 
-/// A shard and the node that leads it.
+/// A shard and its leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ShardLeader {
     /// The shard.
     pub shard: ShardId,
-    /// Its leader.
+    /// The node that leads it.
     pub leader: NodeId,
 }
 
-/// Prefix tokens that were filled and not reused, by cause.
+/// Prefix tokens that were computed but never reused, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Waste {
-    /// Evicted; charged to the owner if more was cached for it than its part of the pool, else to the branch that
-    /// exceeded its part most.
+    /// Evicted. Charged to the owner if its cached tokens exceed its entitled share, else to the
+    /// branch that exceeds its entitled share most.
     pub evicted: u64,
-    /// Left behind by programs that ended.
+    /// Abandoned by programs that ended.
     pub abandoned: u64,
-    /// Left behind by programs that went on at another engine.
+    /// Left on an engine by programs that continued on another.
     pub moved: u64,
-    /// Lost with an engine that restarted or went down.
+    /// Lost when an engine restarted or went down.
     pub engine_lost: u64,
 }
 
 impl Waste {
-    /// All tokens wasted.
+    /// Sum over all causes.
     pub fn total(&self) -> u64 {
         self.evicted + self.abandoned + self.moved + self.engine_lost
     }
 }
 
-/// Service asked of a pool, in units a second.
+/// Demand for service in a pool, in units per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct PoolDemand {
-    /// For prompt tokens not found in a cache.
+    /// For uncached prompt tokens.
     pub prefill: f64,
     /// For generated tokens.
     pub decode: f64,
 }
 
-/// One branch as the dispatcher sees it.
+/// Statistics of a branch.
 #[derive(Debug, Clone, PartialEq)]
 pub struct BranchStats {
     /// The branch.
     pub branch: BranchPath,
-    /// Whether this is the queue of the branch's own calls beside its children.
+    /// Whether this entry is for the branch's own queue, which competes with the branch's children.
     pub own_queue: bool,
-    /// Part of the pool by shares alone, 0 to 1.
+    /// Entitled fraction of the pool, 0 to 1.
     pub entitled_share: f64,
     /// Service charged since the dispatcher started, in units.
     pub served: u64,
-    /// Calls waiting in it and below.
+    /// Calls queued in the branch and its descendants.
     pub waiting: usize,
-    /// Prefix tokens of its own programs believed cached.
+    /// Prefix tokens of the branch's own programs believed cached.
     pub cached_tokens: u64,
-    /// Prefix tokens held by leases, those of branches below included.
+    /// Leased prefix tokens, including those of descendant branches.
     pub leased_tokens: u64,
-    /// Waste that it caused.
+    /// Wasted prefix tokens charged to the branch.
     pub waste: Waste,
 }
 
-/// One engine as the dispatcher sees it.
+/// Statistics of an engine.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineStats {
     /// The engine.
     pub engine: EngineId,
-    /// What the list of engines says.
+    /// State in the engine directory.
     pub state: EngineState,
-    /// Whether it would be given a call now, room apart.
+    /// Whether the engine accepts new calls, capacity aside.
     pub takes_work: bool,
-    /// Until when it is ejected.
+    /// End of the current ejection.
     pub ejected_until: Option<Timestamp>,
-    /// Calls this dispatcher has there.
+    /// Calls of this dispatcher in flight on the engine.
     pub in_flight: u32,
-    /// Most calls it may have there now.
+    /// Current limit on in-flight calls.
     pub call_limit: u32,
-    /// Calls that wait for a slot there, for the sake of their prefix.
+    /// Calls parked for the engine because it caches their prefix.
     pub parked: usize,
-    /// KV tokens those calls are expected to take.
+    /// Expected KV usage of the in-flight calls, in tokens.
     pub memory_tokens: u64,
     /// KV tokens held by leases.
     pub leased_tokens: u64,
-    /// Calls running, as last reported.
+    /// Running calls in the last load report.
     pub reported_running: Option<u32>,
-    /// Calls waiting inside the engine, as last reported.
+    /// Calls queued inside the engine in the last load report.
     pub reported_waiting: Option<u32>,
 }
 
-/// Counts of what the dispatcher did since it started.
+/// Event counters since the dispatcher started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DispatchCounters {
-    /// Calls given to an engine.
+    /// Calls assigned to an engine.
     pub assigned: u64,
-    /// Assignments sent again for want of confirmation.
+    /// Assignments resent because they were not confirmed in time.
     pub resent: u64,
-    /// Calls refused for length of the queue.
+    /// Calls shed because the pool's queue was too long.
     pub shed_overload: u64,
-    /// Calls refused after waiting too long.
+    /// Calls shed because their queue deadline passed.
     pub shed_deadline: u64,
-    /// Messages dropped because a newer leader has spoken.
+    /// Messages dropped because they came from a replaced leader.
     pub stale_terms: u64,
-    /// Messages dropped because the attempt had ended.
+    /// Messages dropped because the attempt had already ended.
     pub stale_attempts: u64,
-    /// Engines ejected.
+    /// Engine ejections.
     pub ejections: u64,
-    /// Gaps in cache events.
+    /// Gaps in cache event sequences.
     pub event_gaps: u64,
-    /// Leases renewed.
+    /// Leases granted or renewed.
     pub leases_renewed: u64,
-    /// Leases that an engine no longer listed.
+    /// Leases missing from an engine's listing.
     pub leases_lost: u64,
-    /// Leases given up.
+    /// Lease releases sent to engines.
     pub leases_released: u64,
-    /// Prefixes copied out of engines.
+    /// Prefixes exported from engines.
     pub exports: u64,
-    /// Copies brought to an engine.
+    /// Prefixes imported into engines.
     pub imports: u64,
-    /// Calls that waited for the engine that holds their prefix.
+    /// Calls parked for the engine that caches their prefix.
     pub parked: u64,
-    /// Leases given up because a call that waited needed the memory.
+    /// Leases released to make room for a queued call.
     pub leases_reclaimed: u64,
-    /// Calls refused because the wait expected of them was far longer than their branch allows.
+    /// Calls shed because their expected wait exceeded their remaining queue time.
     pub shed_hopeless: u64,
-    /// Calls forgotten because their shard no longer names them.
+    /// Calls dropped because their shard no longer announces them.
     pub forgotten_calls: u64,
 }
 
-/// Everything an operator may want to see of a dispatcher.
+/// Dispatcher statistics for operators.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DispatcherStats {
-    /// Calls waiting.
+    /// Queued calls, including parked ones.
     pub waiting: usize,
     /// Calls assigned or running.
     pub in_flight: usize,
-    /// Programs known.
+    /// Known programs.
     pub programs: usize,
-    /// Timers set.
+    /// Pending timers.
     pub timers: usize,
     /// Branches, parents before children.
     pub branches: Vec<BranchStats>,
     /// Engines by id.
     pub engines: BTreeMap<EngineId, EngineStats>,
-    /// Counters.
+    /// Event counters.
     pub counters: DispatchCounters,
 }
--- a/crates/courseshed-dispatch/src/state.rs
+++ b/crates/courseshed-dispatch/src/state.rs
@@ -1,4 +1,4 @@
-//! Everything a dispatcher knows: its tables, and what waits to be sent.
+//! Dispatcher state: tables, counters and pending outputs.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -25,7 +25,7 @@
     },
 };
 
-/// Service that calls ask for, by its parts.
+/// Requested service, split into prefill and decode.
 #[derive(Debug)]
 pub(crate) struct DemandMeter {
     pub(crate) prefill: FadingRate,
@@ -33,7 +33,7 @@
 }
 
 impl DemandMeter {
-    /// Time in which demand fades; placement moves weights, which takes minutes.
+    /// Time constant of the demand estimate. Minutes long, because placement moves model weights.
     const FADE: Duration = Duration::from_secs(120);
 
     pub(crate) fn new(now: Timestamp) -> DemandMeter {
@@ -44,18 +44,17 @@
     }
 }
 
-/// What is counted of a branch's cache.
+/// Prefix cache accounting of a branch.
 #[derive(Debug, Default)]
 pub(crate) struct CacheAccount {
-    /// Tokens of its own programs' prefixes believed cached now.
+    /// Prefix tokens of the branch's own programs believed cached.
     pub(crate) cached: u64,
-    /// Tokens held by leases now, those of branches below included.
+    /// Leased tokens, including those of descendant branches.
     pub(crate) leased: u64,
-    /// Waste that it caused.
+    /// Wasted prefix tokens charged to the branch.
     pub(crate) waste: Waste,
 }
 
-/// The state of one dispatcher.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) pool: PoolId,
@@ -71,25 +70,25 @@
     pub(crate) shards: ShardTable,
     pub(crate) timers: TimerTable,
     pub(crate) shapes: Shapes,
-    /// Calls taken out of the queues.
+    /// Rate at which calls leave the queues.
     pub(crate) drain_rate: FadingRate,
-    /// Service asked for, in units.
     pub(crate) demand: DemandMeter,
     pub(crate) caches: BTreeMap<BranchPath, CacheAccount>,
-    /// Part of the pool each branch is entitled to by the tree of shares, whatever the policy kind does with it.
+    /// Fraction of the pool each branch is entitled to by hierarchical shares, whichever policy
+    /// kind is in use.
     pub(crate) entitlements: BTreeMap<BranchPath, f64>,
     pub(crate) counters: DispatchCounters,
-    /// Programs whose shards are to be asked whether they live.
+    /// Programs whose shards will be asked whether they are still alive.
     pub(crate) checks: LivenessChecks,
-    /// Tokens of prefixes kept outside of engines.
+    /// Prefix tokens stored outside engines.
     pub(crate) exported: Tokens,
-    /// Queues that calls entered since shedding last ran.
+    /// Queues that have grown since shedding last ran.
     pub(crate) grown_queues: BTreeSet<NodeIndex>,
     pub(crate) outputs: Vec<DispatchOutput>,
 }
 
 impl State {
-    /// Says something to a shard's leader, if the shard is known.
+    /// Queues an event for the leader of a shard, if the shard is known.
     pub(crate) fn say(&mut self, shard: ShardId, body: DispatchEventBody) {
         let Some(entry) = self.shards.get(shard) else {
             return;
@@ -104,20 +103,20 @@
         self.outputs.push(DispatchOutput::Event { to, event });
     }
 
-    /// Asks something of an engine.
+    /// Queues an order for an engine.
     pub(crate) fn order(&mut self, engine: EngineId, body: EngineOrderBody) {
         self.outputs
             .push(DispatchOutput::Order(EngineOrder { engine, body }));
     }
 
-    /// Counts leased tokens to a branch and all above it.
+    /// Adds leased tokens to a branch and its ancestors.
     pub(crate) fn add_leased(&mut self, branch: &BranchPath, tokens: Tokens) {
         for path in branch.ancestry() {
             self.cache_account(&path).leased += tokens.0;
         }
     }
 
-    /// Counts leased tokens of a branch and all above it no more.
+    /// Subtracts leased tokens from a branch and its ancestors.
     pub(crate) fn remove_leased(&mut self, branch: &BranchPath, tokens: Tokens) {
         for path in branch.ancestry() {
             let account = self.cache_account(&path);
@@ -125,7 +124,7 @@
         }
     }
 
-    /// The cache account of a branch.
+    /// Cache account of a branch, created on first use.
     pub(crate) fn cache_account(&mut self, branch: &BranchPath) -> &mut CacheAccount {
         if !self.caches.contains_key(branch) {
             self.caches.insert(branch.clone(), CacheAccount::default());
