--- a/crates/courseshed-dispatch/src/tables/branches.rs
+++ b/crates/courseshed-dispatch/src/tables/branches.rs
@@ -1,8 +1,8 @@
-//! The tree of branches with its accounts and queues.
+//! Tree of branches with fair-share accounting and queues.
 //!
-//! A branch with children gets one more child, its own queue with weight one, so that only nodes without
-//! children hold calls. Invariants: weights of siblings sum to one; a node is listed in its parent's `active` set
-//! if and only if calls wait below it.
+//! A branch with children gets an extra child with weight one for its own calls, so that only
+//! leaves queue calls. Invariants: the weights of siblings sum to one; a node is in its parent's
+//! `active` set if and only if calls are queued in its subtree.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,61 +14,59 @@
     units::{RecentService, VirtualTime},
 };
 
-/// The place of a node in the table.
+/// Index of a node in the table.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct NodeIndex(pub(crate) u32);
 
 impl NodeIndex {
-    /// The root of the tree.
     pub(crate) const ROOT: NodeIndex = NodeIndex(0);
 }
 
-/// The share given to a branch's own calls beside its children.
+/// Weight of a branch's own queue relative to the branch's children.
 const OWN_QUEUE_SHARE: f64 = 1.0;
 
-/// How a node stands in its parent's sets.
+/// Keys under which a node is stored in its parent's ordered sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Listing {
-    /// Where it stands in the order of service.
+    /// Start tag of the next service, less the priority warp.
     pub(crate) key: VirtualTime,
-    /// Its most urgent next call, in steps of priority above zero.
+    /// Priority of the node's most urgent next call, in steps.
     pub(crate) urgency: i32,
-    /// Its place in the order of floors, for nodes that have one.
+    /// Key in the set of guaranteed minimums, for nodes that have one.
     pub(crate) floor: Option<VirtualTime>,
 }
 
-/// A node of the tree.
 #[derive(Debug, Clone)]
 pub(crate) struct BranchNode {
     pub(crate) path: BranchPath,
-    /// Whether it is a branch's own queue beside the branch's children.
+    /// Whether the node queues a branch's own calls beside the branch's children.
     pub(crate) is_own_queue: bool,
     pub(crate) parent: Option<NodeIndex>,
     pub(crate) children: Vec<NodeIndex>,
-    /// Part of the parent's service, 0 to 1.
+    /// Fraction of the parent's service, 0 to 1.
     pub(crate) weight: f64,
-    /// Part of the pool guaranteed, 0 to 1.
+    /// Guaranteed minimum fraction of the pool, 0 to 1.
     pub(crate) floor: f64,
-    /// Part of the engines' cache that leases of the branch may hold, 0 to 1.
+    /// Fraction of the engines' cache that leases of the branch may hold, 0 to 1.
     pub(crate) cache_share: f64,
-    /// Virtual time at which the node's next service starts.
+    /// Start tag of the node's next service, in its parent's virtual time.
     pub(crate) start: VirtualTime,
     /// Virtual time of the node's children.
     pub(crate) virtual_now: VirtualTime,
-    /// Virtual time by the floor.
+    /// Start tag against the guaranteed minimum, in the pool's virtual time.
     pub(crate) floor_start: VirtualTime,
-    /// Service charged so far, corrected by what engines counted.
+    /// Service charged so far, corrected by reported usage.
     pub(crate) served: u64,
-    /// Service of late: each unit fades as the pool serves more.
+    /// Charged service with exponential decay.
     pub(crate) recent: RecentService,
     pub(crate) listing: Option<Listing>,
-    /// Children below which calls wait, in order of service.
+    /// Children with queued calls in their subtree, by start tag.
     pub(crate) active: BTreeSet<(VirtualTime, NodeIndex)>,
-    /// Children with urgent calls.
+    /// Children with queued calls, by priority.
     pub(crate) urgent: BTreeSet<(i32, NodeIndex)>,
-    /// Calls waiting here, in order; only at nodes without children.
+    /// Queued calls by rank; empty except at leaves.
     pub(crate) queue: BTreeSet<(Rank, CallId)>,
-    /// Those of `queue` that are first calls of their family.
+    /// The subset of `queue` that are the first calls of their root program.
     pub(crate) first_calls: BTreeSet<(Rank, CallId)>,
 }
 
@@ -96,18 +94,18 @@
     }
 }
 
-/// All branches of one pool.
 #[derive(Debug, Clone)]
 pub(crate) struct BranchTable {
     nodes: Vec<BranchNode>,
-    /// The node that queues a branch's calls.
+    /// The leaf that queues each branch's calls.
     queues: BTreeMap<BranchPath, NodeIndex>,
-    /// Nodes with a floor below which calls wait, in order of their floors.
+    /// Nodes with a guaranteed minimum and queued calls, by due time.
     pub(crate) floors: BTreeSet<(VirtualTime, NodeIndex)>,
 }
 
 impl BranchTable {
-    /// Builds the tree of a policy, empty of calls, and carries the accounts of an older tree over.
+    /// Builds the tree of a policy without calls, carrying over the accounting state of an older
+    /// tree.
     pub(crate) fn build(
         policy: &PolicySnapshot,
         sharing: Sharing,
@@ -144,7 +142,8 @@
         indexed.map(|(index, node)| (NodeIndex(index as u32), node))
     }
 
-    /// The node that queues the calls of a branch, or of the nearest branch above it that exists.
+    /// The leaf that queues the calls of a branch or, if the branch does not exist, of its nearest
+    /// existing ancestor.
     pub(crate) fn queue_of(&self, branch: &BranchPath) -> NodeIndex {
         if let Some(index) = self.queues.get(branch) {
             return *index;
@@ -155,13 +154,13 @@
             .unwrap_or(NodeIndex::ROOT)
     }
 
-    /// The node and all above it, the root last.
+    /// The node and its ancestors, ending with the root.
     pub(crate) fn path_up(&self, from: NodeIndex) -> impl Iterator<Item = NodeIndex> {
         std::iter::successors(Some(from), |index| self.node(*index).parent)
     }
 
-    /// Part of the pool a node is entitled to by shares alone, 0 to 1. Own queues count only while calls wait in
-    /// them, since most branches with children make no calls of their own.
+    /// Fraction of the pool a node is entitled to by shares, 0 to 1. A branch's own queue counts
+    /// only while it has calls, since most branches with children make none of their own.
     pub(crate) fn entitled(&self, index: NodeIndex) -> f64 {
         self.path_up(index)
             .map(|node| self.weight_without_idle_queue(node))
@@ -183,12 +182,13 @@
         node.weight / (1.0 - idle)
     }
 
-    /// A node, if the table has so many.
+    /// The node at an index, if it exists.
     pub(crate) fn find(&self, index: NodeIndex) -> Option<&BranchNode> {
         self.nodes.get(index.0 as usize)
     }
 
-    /// Part of the pool a node gets by shares among the branches with calls waiting, itself counted, 0 to 1.
+    /// Fraction of the pool a node gets while it competes only with branches that have queued
+    /// calls, 0 to 1.
     pub(crate) fn active_part(&self, index: NodeIndex) -> f64 {
         self.path_up(index)
             .map(|node| self.active_weight(node))
@@ -208,7 +208,7 @@
         node.weight / (node.weight + others)
     }
 
-    /// What each branch that queues calls is entitled to, 0 to 1.
+    /// Entitled fraction of the pool of each branch that queues calls, 0 to 1.
     pub(crate) fn entitlements(&self) -> BTreeMap<BranchPath, f64> {
         let queues = self.queues.iter();
         let entitled = queues.map(|(path, index)| (path.clone(), self.entitled(*index)));
--- a/crates/courseshed-dispatch/src/tables/calls.rs
+++ b/crates/courseshed-dispatch/src/tables/calls.rs
@@ -1,4 +1,4 @@
-//! Calls that wait for an engine or run on one.
+//! Calls that are queued or running.
 
 use std::collections::BTreeMap;
 
@@ -9,71 +9,68 @@
 
 use crate::{tables::NodeIndex, units::Service};
 
-/// A call's place in the order of its branch; lower comes first.
+/// Sort key of a call within its branch; lower is served first.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
-    /// Arrival, moved by what the order of the branch weighs; in microseconds.
+    /// Arrival time in microseconds, adjusted by the ordering policy.
     pub(crate) at: i64,
-    /// Steps of priority.
+    /// Priority in steps.
     pub(crate) urgency: i32,
 }
 
-/// What was estimated when a call was given to an engine.
+/// Estimates made when a call was assigned to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Placement {
     pub(crate) engine: EngineId,
-    /// Service charged to the branch.
     pub(crate) charged: Service,
-    /// KV memory the call is expected to take.
+    /// KV memory the call is expected to use.
     pub(crate) memory: Tokens,
     pub(crate) since: Timestamp,
     /// Priority sent to the engine.
     pub(crate) priority: i32,
 }
 
-/// A wait for the engine that holds the call's prefix.
+/// A call parked for the engine that caches its prefix.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct Parking {
     pub(crate) engine: EngineId,
-    /// Service charged to the branch.
     pub(crate) charged: Service,
 }
 
-/// What a call is doing.
+/// Scheduling state of a call.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum CallPhase {
     /// In its branch's queue at this rank.
     Waiting(Rank),
-    /// Out of its queue for a moment, for the sake of its prefix.
+    /// Temporarily out of its queue, reserved for the engine that caches its prefix.
     Parked(Parking),
-    /// An engine was chosen; the shard has not confirmed.
+    /// Assigned to an engine, not yet confirmed by the shard.
     Assigned(Placement),
-    /// The shard committed the dispatch.
+    /// Assignment committed by the shard.
     Running(Placement),
 }
 
-/// A call.
 #[derive(Debug, Clone)]
 pub(crate) struct CallEntry {
     pub(crate) call: Box<WaitingCall>,
     pub(crate) shard: ShardId,
     pub(crate) queue: NodeIndex,
-    /// The shard's announcement that last named the call.
+    /// Announcement generation of the shard that last named the call.
     pub(crate) generation: u64,
-    /// Since when smaller calls pass it because it fits no engine.
+    /// Since when smaller calls have bypassed it because it fits on no engine.
     pub(crate) passed_over_since: Option<Timestamp>,
-    /// Whether it has waited for its prefix's engine before.
+    /// Whether it has been parked before; a call is parked at most once.
     pub(crate) was_parked: bool,
     pub(crate) phase: CallPhase,
 }
 
 impl CallEntry {
-    /// Whether the call has no engine yet.
+    /// Whether the call is queued or parked.
     pub(crate) fn is_waiting(&self) -> bool {
         is_waiting(&self.phase)
     }
 
-    /// Where the call runs or shall run.
+    /// The assignment, if there is one.
     pub(crate) fn placement(&self) -> Option<&Placement> {
         match &self.phase {
             CallPhase::Waiting(_) | CallPhase::Parked(_) => None,
@@ -81,7 +78,6 @@
         }
     }
 
-    /// The attempt.
     pub(crate) fn request(&self) -> RequestId {
         RequestId {
             call: self.call.call,
@@ -89,7 +85,7 @@
         }
     }
 
-    /// The branch that pays.
+    /// The branch charged for the call.
     pub(crate) fn branch(&self) -> &BranchPath {
         &self.call.branch
     }
@@ -107,7 +103,7 @@
         self.calls.get(call)
     }
 
-    /// A call to change; its phase must be changed by `set_phase`.
+    /// Mutable access to a call. The phase must only be changed through `set_phase`.
     pub(crate) fn get_mut(&mut self, call: &CallId) -> Option<&mut CallEntry> {
         self.calls.get_mut(call)
     }
@@ -120,7 +116,7 @@
         self.calls.iter_mut()
     }
 
-    /// The call known of a program; a program has one at a time.
+    /// The call of a program; each program has at most one at a time.
     pub(crate) fn of_program(&self, program: ProgramId) -> Option<&CallEntry> {
         let first = CallId {
             program,
@@ -157,12 +153,12 @@
         entry.phase = phase;
     }
 
-    /// Calls that wait for an engine.
+    /// Number of queued and parked calls.
     pub(crate) fn waiting(&self) -> usize {
         self.waiting
     }
 
-    /// Calls waiting, assigned and running.
+    /// Number of calls in any phase.
     pub(crate) fn len(&self) -> usize {
         self.calls.len()
     }
--- a/crates/courseshed-dispatch/src/tables/engines.rs
+++ b/crates/courseshed-dispatch/src/tables/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool: what the list says, what they report, and the dispatcher's own account.
+//! Engines of a pool: directory entry, last load report, and the dispatcher's own accounting.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -12,49 +12,48 @@
 
 use crate::config::DispatcherConfig;
 
-/// A load report and when it came.
+/// A load report and its arrival time.
 #[derive(Debug, Clone)]
 pub(crate) struct LoadReport {
     pub(crate) load: EngineLoad,
     pub(crate) at: Timestamp,
 }
 
-/// Whether an engine may be tried.
+/// Failure and ejection state of an engine.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct Health {
-    /// Failures in a row.
+    /// Consecutive failures.
     pub(crate) failures: u32,
     /// Ejections since the last success.
     pub(crate) ejections: u32,
-    /// No work before this.
+    /// End of the current ejection.
     pub(crate) ejected_until: Option<Timestamp>,
-    /// Whether an ejection ended and no call has ended well since.
+    /// Whether an ejection has ended but no call has succeeded since.
     pub(crate) is_probing: bool,
 }
 
-/// An engine.
 #[derive(Debug, Clone)]
 pub(crate) struct EngineEntry {
     pub(crate) member: EngineMember,
     pub(crate) report: Option<LoadReport>,
     pub(crate) health: Health,
-    /// When slow start began; none once the engine takes its whole batch.
+    /// Start of slow start; `None` once the engine takes its full batch.
     pub(crate) warming_since: Option<Timestamp>,
-    /// Calls this dispatcher has there.
+    /// Calls of this dispatcher in flight on the engine.
     pub(crate) in_flight: u32,
-    /// Those calls by the priority sent to the engine.
+    /// Those calls, counted by the priority sent to the engine.
     by_priority: BTreeMap<i32, u32>,
-    /// KV memory those calls are expected to take.
+    /// KV memory those calls are expected to use.
     pub(crate) memory: Tokens,
-    /// Most calls in flight since the report before the last.
+    /// Peaks of `in_flight` since the last report and in the interval before it.
     pub(crate) peaks: [u32; 2],
-    /// KV memory held by leases of paused programs, as this dispatcher believes.
+    /// KV memory held by leases of paused programs, as tracked by this dispatcher.
     pub(crate) leased: Tokens,
-    /// Programs with a lease there.
+    /// Programs with a lease on the engine.
     pub(crate) lessees: BTreeSet<ProgramId>,
-    /// Calls that wait for a slot here because their prefix is here.
+    /// Calls parked for the engine because it caches their prefix.
     pub(crate) parked: BTreeSet<CallId>,
-    /// The last cache event heard.
+    /// Number of the last cache event received.
     pub(crate) last_event: Option<u64>,
 }
 
@@ -76,13 +75,13 @@
         }
     }
 
-    /// Whether it finishes what it has and takes nothing new, by the list of engines or its own word.
+    /// Whether the engine is draining, according to the directory or its own report.
     pub(crate) fn is_leaving(&self) -> bool {
         let says_so = |report: &LoadReport| report.load.leaving;
         self.member.state != EngineState::Live || self.report.as_ref().is_some_and(says_so)
     }
 
-    /// Whether the engine may be given new calls of the model.
+    /// Whether the engine accepts new calls for the model.
     pub(crate) fn takes_work(&self, now: Timestamp, model: &ModelName) -> bool {
         let ejected = self.health.ejected_until.is_some_and(|until| now < until);
         self.member.state == EngineState::Live && !ejected && self.serves(model)
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Calls that may be in flight at once, from this dispatcher.
+    /// Limit on this dispatcher's in-flight calls.
     pub(crate) fn call_limit(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let batch = self.batch(config);
         let ahead = (f64::from(batch) * config.send_ahead).ceil() as u32;
@@ -110,8 +109,8 @@
         }
     }
 
-    /// Whether a call of this priority may be sent although the slots are taken: the engine lets it overtake a less
-    /// urgent one. Bounded, so that less urgent calls are held up by a part of the batch at most.
+    /// Whether a call of this priority may be sent although all slots are taken, because the engine
+    /// schedules it ahead of a less urgent call. Bounded to limit the delay of less urgent calls.
     pub(crate) fn has_urgent_slot(
         &self,
         config: &DispatcherConfig,
@@ -128,7 +127,7 @@
         priority > 0 && is_outranked && is_steady && self.in_flight < limit
     }
 
-    /// Calls that may be parked for the engine.
+    /// Limit on calls parked for the engine.
     pub(crate) fn parking_limit(&self, config: &DispatcherConfig) -> usize {
         (f64::from(self.batch(config)) * config.affinity_ahead).ceil() as usize
     }
@@ -140,8 +139,8 @@
         }
     }
 
-    /// Calls on the engine that are not this dispatcher's, from the last report. The report lags: what was ours
-    /// at any time since the report before it is not held against the engine.
+    /// Calls of other dispatchers on the engine, from the last report. Reports lag, so the peak of
+    /// this dispatcher's own calls over the last two reporting intervals is subtracted.
     fn foreign_calls(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let Some(report) = &self.report else {
             return 0;
@@ -154,14 +153,14 @@
         reported.saturating_sub(ours)
     }
 
-    /// KV memory in tokens, if reported.
+    /// KV memory size, if reported.
     pub(crate) fn memory_size(&self) -> Option<Tokens> {
         let load = &self.report.as_ref()?.load;
         let tokens = u64::from(load.total_blocks) * u64::from(load.block_tokens);
         (tokens > 0).then_some(Tokens(tokens))
     }
 
-    /// KV memory left for another call, if the size is known.
+    /// KV memory available for another call, if the size is known.
     pub(crate) fn memory_room(&self, config: &DispatcherConfig) -> Option<Tokens> {
         let size = self.memory_size()?;
         let usable = Tokens((size.0 as f64 * config.memory_limit) as u64);
@@ -172,14 +171,14 @@
         )
     }
 
-    /// Part of the batch an engine that comes back may have; none when it is warm.
+    /// Fraction of the call limit during slow start; `None` otherwise.
     fn warm_part(&self, slow_start: Duration, now: Timestamp) -> Option<f64> {
         let since = self.warming_since?;
         let part = now.since(since).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
         (part < 1.0).then_some(part)
     }
 
-    /// A call was given to the engine.
+    /// Records a call assigned to the engine.
     pub(crate) fn add_call(&mut self, memory: Tokens, priority: i32) {
         self.in_flight += 1;
         *self.by_priority.entry(priority).or_default() += 1;
@@ -187,7 +186,7 @@
         self.peaks[0] = self.peaks[0].max(self.in_flight);
     }
 
-    /// A call left the engine.
+    /// Removes a call from the engine's accounting.
     pub(crate) fn remove_call(&mut self, memory: Tokens, priority: i32) {
         self.in_flight = self.in_flight.saturating_sub(1);
         if let Some(calls) = self.by_priority.get_mut(&priority) {
@@ -199,7 +198,7 @@
         self.memory = self.memory.saturating_sub(memory);
     }
 
-    /// Takes a report over; true if the engine restarted since the one before.
+    /// Stores a load report. Returns true if the engine has restarted since the previous one.
     pub(crate) fn take_report(&mut self, now: Timestamp, load: EngineLoad) -> bool {
         let restarted = self
             .report
@@ -211,7 +210,7 @@
     }
 }
 
-/// All engines of a pool, by id.
+/// All engines of a pool by id.
 #[derive(Debug, Default)]
 pub(crate) struct EngineTable {
     engines: BTreeMap<EngineId, EngineEntry>,
--- a/crates/courseshed-dispatch/src/tables/mod.rs
+++ b/crates/courseshed-dispatch/src/tables/mod.rs
@@ -1,4 +1,4 @@
-//! The entities of one pool, in tables; systems run over them.
+//! Data tables of one pool, updated by the systems.
 
 mod branches;
 mod calls;
--- a/crates/courseshed-dispatch/src/tables/programs.rs
+++ b/crates/courseshed-dispatch/src/tables/programs.rs
@@ -1,4 +1,4 @@
-//! Programs that make calls in the pool, and where their prefixes are cached.
+//! Programs with calls in the pool and the location of their cached prefixes.
 
 use std::collections::BTreeMap;
 
@@ -6,35 +6,33 @@
     Attempt, BranchPath, EngineId, ProgramId, RequestId, Sequence, ShardId, Timestamp, Tokens,
 };
 
-/// Prefix memory of a program on one engine, as far as is known.
+/// A program's cached prefix on one engine, as tracked by the dispatcher.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct CachedPrefix {
     pub(crate) engine: EngineId,
     pub(crate) tokens: Tokens,
-    /// Those of them that no call has found in the cache yet.
+    /// Tokens that no call has reused yet.
     pub(crate) unused: Tokens,
-    /// Until when a lease holds it.
+    /// Lease expiry, if the prefix is leased.
     pub(crate) leased_until: Option<Timestamp>,
     /// Tokens counted in the engine's leased memory.
     pub(crate) leased_tokens: Tokens,
 }
 
-/// A program.
 #[derive(Debug, Clone)]
 pub(crate) struct ProgramEntry {
     pub(crate) branch: BranchPath,
     pub(crate) shard: ShardId,
-    /// Calls settled.
+    /// Completed calls.
     pub(crate) turns: u32,
-    /// The last attempt that ended; what comes late of it or of earlier ones is dropped.
+    /// The last attempt that ended; later messages about it or earlier attempts are dropped.
     pub(crate) last_ended: Option<(Sequence, Attempt)>,
-    /// Since when no call of the program is known.
+    /// Since when the program has had no call in the pool.
     pub(crate) paused_since: Option<Timestamp>,
-    /// Tokens of its prefix kept outside of engines.
+    /// Prefix tokens stored outside engines.
     pub(crate) exported: Tokens,
-    /// Those of them that no call has used yet.
+    /// Exported tokens that no call has reused yet.
     pub(crate) exported_unused: Tokens,
-    /// Where its prefix is.
     pub(crate) prefix: Option<CachedPrefix>,
 }
 
@@ -52,13 +50,13 @@
         }
     }
 
-    /// Whether an attempt ended before, or a later one did.
+    /// Whether this attempt or a later one has ended.
     pub(crate) fn has_ended(&self, request: &RequestId) -> bool {
         let attempt = (request.call.sequence, request.attempt);
         self.last_ended.is_some_and(|last| attempt <= last)
     }
 
-    /// Notes the end of an attempt.
+    /// Records the end of an attempt.
     pub(crate) fn note_ended(&mut self, request: &RequestId) {
         let attempt = (request.call.sequence, request.attempt);
         self.last_ended = self.last_ended.max(Some(attempt));
@@ -73,7 +71,6 @@
     }
 }
 
-/// All programs of a pool.
 #[derive(Debug, Default)]
 pub(crate) struct ProgramTable {
     programs: BTreeMap<ProgramId, ProgramEntry>,
--- a/crates/courseshed-dispatch/src/tables/shards.rs
+++ b/crates/courseshed-dispatch/src/tables/shards.rs
@@ -1,34 +1,32 @@
-//! The shards that speak to the dispatcher: who leads each, and which of its calls it has announced.
+//! Shards known to the dispatcher: their leaders and announcement state.
 
 use std::collections::BTreeMap;
 
 use courseshed_types::{NodeId, ShardId};
 
-/// A shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct ShardEntry {
     pub(crate) leader: NodeId,
     pub(crate) term: u64,
-    /// Counts announcements; calls named since the last one carry it.
+    /// Announcement generation; calls named by the shard are tagged with it.
     pub(crate) generation: u64,
     /// Whether the shard has announced all its calls to this dispatcher.
     pub(crate) announced: bool,
-    /// How often it was asked to.
+    /// Number of announcement requests sent.
     pub(crate) times_asked: u32,
 }
 
-/// What became of a message's term.
+/// Result of checking a message's term.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum TermCheck {
-    /// From a leader that was replaced.
+    /// From a replaced leader.
     Stale,
-    /// From the leader known.
+    /// From the current leader.
     Current,
-    /// From a shard or leader heard for the first time.
+    /// From a new shard or a new leader.
     New,
 }
 
-/// All shards that have spoken.
 #[derive(Debug, Default)]
 pub(crate) struct ShardTable {
     shards: BTreeMap<ShardId, ShardEntry>,
@@ -43,7 +41,7 @@
         self.shards.get_mut(&shard)
     }
 
-    /// Checks a message's term; a newer one replaces the leader and starts a new announcement.
+    /// Checks a message's term. A newer term replaces the leader and starts a new announcement.
     pub(crate) fn check(&mut self, shard: ShardId, leader: NodeId, term: u64) -> TermCheck {
         let Some(entry) = self.shards.get_mut(&shard) else {
             let entry = ShardEntry {
--- a/crates/courseshed-dispatch/src/tables/timers.rs
+++ b/crates/courseshed-dispatch/src/tables/timers.rs
@@ -1,36 +1,35 @@
-//! What is due when. Timers of calls and programs that are gone are cancelled, so that the table stays as small as
-//! the others.
+//! Pending timers. Timers of removed calls and programs are cancelled so that the table stays
+//! bounded by the others.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use courseshed_types::{CallId, EngineId, ProgramId, ShardId, Timestamp};
 
-/// Something that falls due.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
-    /// The call has waited as long as it may.
+    /// The call's queue deadline has passed.
     GiveUp(CallId),
-    /// The call's place in its branch may have changed.
+    /// The call's rank may have changed.
     Rerank(CallId),
-    /// The import for the call should be done.
+    /// The prefix import for the call should be complete.
     Imported(CallId),
-    /// The call has waited long enough for its prefix's engine.
+    /// The call has been parked for its maximum wait.
     Unpark(CallId),
-    /// The assignment was not confirmed yet.
+    /// The call's assignment has not been confirmed.
     Resend(CallId),
-    /// The paused program's prefix is looked at again.
+    /// The lease of the paused program is due for review.
     Hold(ProgramId),
-    /// The program may have been silent for too long.
+    /// The program may have been idle long enough to be dropped.
     Forget(ProgramId),
-    /// The engine may be tried again, or takes more calls now.
+    /// The engine's ejection has ended or its slow start advances.
     Engine(EngineId),
-    /// The shard has had time to announce its calls.
+    /// The shard should have announced its calls.
     Announce(ShardId),
-    /// Engines that have not reported yet may be tried now.
+    /// Engines that have not reported their load may be used.
     GraceEnds,
 }
 
-/// All timers, in order of time; each is set for one time at most.
+/// All timers ordered by due time; each is set for at most one time.
 #[derive(Debug, Default)]
 pub(crate) struct TimerTable {
     due: BTreeSet<(Timestamp, Timer)>,
@@ -38,7 +37,7 @@
 }
 
 impl TimerTable {
-    /// Sets a timer, in place of the time it was set for before.
+    /// Sets a timer, replacing its earlier due time.
     pub(crate) fn set(&mut self, at: Timestamp, timer: Timer) {
         if let Some(earlier) = self.times.insert(timer.clone(), at) {
             self.due.remove(&(earlier, timer.clone()));
