--- a/crates/courseshed-dispatch/src/baselines/mod.rs
+++ b/crates/courseshed-dispatch/src/baselines/mod.rs
@@ -1,73 +1,78 @@
-//! What each policy kind is made of, so that baselines run through the same tables and systems.
+//! Components of each policy kind. Baselines run through the same tables and systems as the default
+//! policy.
 //!
-//! - First come, least load: one queue in order of arrival, each call to the engine with the fewest calls against its
-//!   limit, as the "least outstanding requests" of common balancers.
-//! - Prefix affinity: one queue in order of arrival, and cache-aware routing as SGLang's router does it (Zheng et al.,
-//!   "SGLang: Efficient Execution of Structured Language Model Programs", NeurIPS 2024, and its router's defaults):
-//!   the engine that caches at least half of the prompt, but the least loaded one when loads are out of balance.
-//! - Per-call fair: the Virtual Token Counter (Sheng et al., "Fairness in Serving Large Language Models", OSDI 2024):
-//!   one queue a client, side by side; the client with the lowest counter goes first; a counter is charged for the
-//!   whole prompt when a call starts and for its output as that becomes known; one that was idle is lifted to the
-//!   others. Weighted by shares as in the paper's extension; a client is a leaf of the tree; blind to programs and
-//!   caches. Engines are chosen by prefix affinity, which the paper leaves open.
+//! - First come, least load: one FIFO queue; each call goes to the engine with the lowest load
+//!   relative to its limit, as in common "least outstanding requests" balancers.
+//! - Prefix affinity: one FIFO queue with cache-aware routing as in SGLang's router (Zheng et al.,
+//!   "SGLang: Efficient Execution of Structured Language Model Programs", NeurIPS 2024, with the
+//!   router's defaults): the engine that caches at least half of the prompt, or the least loaded
+//!   engine when loads are imbalanced.
+//! - Per-call fair: the Virtual Token Counter (Sheng et al., "Fairness in Serving Large Language
+//!   Models", OSDI 2024): one queue per client, lowest counter first. A counter is charged for the
+//!   whole prompt when a call starts and for its output once reported; the counter of a client that
+//!   was idle is lifted to those of the others. Clients are leaves of the branch tree, weighted by
+//!   shares as in the paper's extension, regardless of programs and caches. Engines are chosen by
+//!   prefix affinity, since the paper leaves routing open.
 //!
-//! All kinds share the limits of engines, ejection, shedding, and the units of service. Tokens are weighed by the
-//! configuration (1 and 4; the paper's examples use 1 and 2), so that services compare between kinds.
+//! All policies share engine limits, ejection, shedding and service units. Token weights come from
+//! the configuration (1 and 4 by default; the paper's examples use 1 and 2), so that service is
+//! comparable between policies.
 
 use crate::config::PolicyKind;
 
 /// How branches share a pool.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Sharing {
-    /// One queue for all.
+    /// One queue for all calls.
     Single,
-    /// One queue a branch, side by side, weighed by the product of shares.
+    /// One queue per leaf branch, weighted by the product of shares along its path.
     Flat,
-    /// The tree of branches.
+    /// The hierarchy of branches.
     Tree,
 }
 
 /// How calls of one branch are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Ordering {
-    /// By acceptance.
+    /// By acceptance time.
     FirstCome,
-    /// By the program's attained service, aim, worth, and age.
+    /// By the program's attained service, target completion time, value weight and age.
     Program,
 }
 
-/// How an engine is chosen.
+/// How an engine is selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Choice {
-    /// The least loaded.
+    /// The least loaded engine.
     LeastLoad,
-    /// The one with the prefix if it has room and loads are in balance, else the least loaded.
+    /// The engine that caches the prefix if it has capacity and loads are balanced, else the least
+    /// loaded.
     Affinity,
-    /// Prefill saved against load and zone.
+    /// The engine with the lowest cost in uncached prefill, load and zone distance.
     Balanced,
 }
 
 /// What a call's branch is charged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Charging {
-    /// Prompt tokens not found in a cache, and the output expected, corrected to the output counted.
+    /// Uncached prompt tokens and expected output, corrected to the reported usage.
     Service,
-    /// All prompt tokens when the call starts, and the output once it is counted.
+    /// All prompt tokens when the call starts, and the output once it is reported.
     VirtualTokens,
 }
 
-/// The parts of a policy kind.
+/// The components of a policy kind.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Strategy {
     pub(crate) sharing: Sharing,
     pub(crate) ordering: Ordering,
     pub(crate) choice: Choice,
     pub(crate) charging: Charging,
-    /// Whether a call may wait a moment for the engine that holds its prefix.
+    /// Whether a call may be parked for the engine that caches its prefix.
     pub(crate) parks: bool,
-    /// Whether prefixes of paused programs are held by leases.
+    /// Whether prefixes of paused programs are leased.
     pub(crate) holds_prefixes: bool,
-    /// Whether priorities overtake.
+    /// Whether calls with a higher priority go first.
     pub(crate) honours_priority: bool,
 }
 
--- a/crates/courseshed-dispatch/src/learn/fading_rate.rs
+++ b/crates/courseshed-dispatch/src/learn/fading_rate.rs
@@ -1,18 +1,18 @@
-//! A rate measured over the recent past: calls taken out of queues, or service asked for.
+//! Exponentially decaying rate estimate.
 
 use std::time::Duration;
 
 use courseshed_types::Timestamp;
 
-/// Time that must pass before a rate says anything, as a part of the time in which samples fade.
+/// Minimum observation time before a rate is reported, as a fraction of the time constant.
 const LEAST_TIME: f64 = 0.25;
-/// Weight of samples that must be held before a rate says anything.
+/// Minimum decayed sample count before a rate is reported.
 const LEAST_SAMPLES: f64 = 8.0;
 
-/// An exponentially fading sum of amounts.
+/// An exponentially decaying sum of amounts.
 #[derive(Debug, Clone)]
 pub(crate) struct FadingRate {
-    /// Time in which a sample fades to 1/e.
+    /// Time constant: time in which a sample decays to 1/e.
     fade: Duration,
     started: Timestamp,
     updated: Timestamp,
@@ -31,7 +31,6 @@
         }
     }
 
-    /// Adds an amount.
     pub(crate) fn record(&mut self, now: Timestamp, amount: f64) {
         let kept = self.kept_at(now);
         self.samples = self.samples * kept + 1.0;
@@ -39,7 +38,7 @@
         self.updated = self.updated.max(now);
     }
 
-    /// The amount per second of late; none while too little was seen to tell.
+    /// The recent amount per second; `None` until there are enough samples.
     pub(crate) fn per_second(&self, now: Timestamp) -> Option<f64> {
         let time = now.since(self.started).as_secs_f64();
         let fade = self.fade.as_secs_f64();
@@ -51,7 +50,7 @@
         Some(self.amount * kept / seen)
     }
 
-    /// The part of what was held that is left now.
+    /// Fraction of the accumulated sums that remains at `now`.
     fn kept_at(&self, now: Timestamp) -> f64 {
         let age = now.since(self.updated).as_secs_f64();
         (-age / self.fade.as_secs_f64()).exp()
--- a/crates/courseshed-dispatch/src/learn/histogram.rs
+++ b/crates/courseshed-dispatch/src/learn/histogram.rs
@@ -1,16 +1,16 @@
-//! A histogram with logarithmic buckets whose old samples fade.
+//! Histogram with logarithmic buckets and decaying samples.
 //!
-//! A tail is off by at most one bucket, a factor of 2^(1/4). Invariants: the counts sum to `total`, and, each counted
-//! at the middle of its bucket, to `sum`.
+//! Bucket bounds grow by a factor of 2^(1/4), which bounds the error of tail weights to one bucket.
+//! Invariants: `total` is the sum of the counts, and `sum` is the sum of the counts times their
+//! bucket midpoints.
 
-/// Buckets in each doubling.
 const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Buckets in all; covers values up to 2^30.
+/// Number of buckets; covers values up to 2^30.
 const BUCKETS: usize = 121;
-/// When so many samples are held, all are halved, so that the newest few hundred dominate.
+/// Weight at which all counts are halved, so that recent samples dominate.
 const FADE_AT: f64 = 512.0;
 
-/// Positive values, such as milliseconds or tokens.
+/// A histogram of positive values, such as milliseconds or tokens.
 #[derive(Debug, Clone)]
 pub(crate) struct LogHistogram {
     counts: Vec<f32>,
@@ -29,7 +29,7 @@
 }
 
 impl LogHistogram {
-    /// Adds a sample; the oldest fade.
+    /// Adds a sample, halving older ones once the total weight is large enough.
     pub(crate) fn record(&mut self, value: u64) {
         let bucket = bucket_of(value as f64);
         self.counts[bucket] += 1.0;
@@ -42,17 +42,17 @@
         }
     }
 
-    /// The weight of all samples held.
+    /// Total weight of the samples.
     pub(crate) fn weight(&self) -> f64 {
         self.total
     }
 
-    /// The mean, each bucket counted at its middle; none without samples.
+    /// The mean of the bucket midpoints; `None` without samples.
     pub(crate) fn mean(&self) -> Option<f64> {
         (self.total > 0.0).then(|| self.sum / self.total)
     }
 
-    /// The weight of samples above a value.
+    /// Weight of the samples above a value.
     pub(crate) fn weight_above(&self, value: f64) -> f64 {
         let first = bucket_of(value) + 1;
         self.counts[first.min(BUCKETS)..]
@@ -61,8 +61,8 @@
             .sum()
     }
 
-    /// The probability that a duration which has lasted `elapsed` ends within `horizon` more; none where no
-    /// sample lasted so long.
+    /// Probability that a duration which has lasted `elapsed` ends within another `horizon`; `None`
+    /// if no sample lasted that long.
     pub(crate) fn ends_within(&self, elapsed: f64, horizon: f64) -> Option<f64> {
         let alive = self.weight_above(elapsed);
         if alive < 0.5 {
--- a/crates/courseshed-dispatch/src/learn/mod.rs
+++ b/crates/courseshed-dispatch/src/learn/mod.rs
@@ -1,4 +1,4 @@
-//! What is learned online about programs, whose shapes nobody knows in advance.
+//! Online estimates of program behavior.
 
 mod fading_rate;
 mod histogram;
--- a/crates/courseshed-dispatch/src/learn/shapes.rs
+++ b/crates/courseshed-dispatch/src/learn/shapes.rs
@@ -1,4 +1,5 @@
-//! Distributions of output lengths, tool pauses and turns by branch, with the whole pool as a prior.
+//! Distributions of output lengths, pauses and call counts per branch, with pool-wide distributions
+//! as a fallback.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -6,12 +7,11 @@
 
 use crate::learn::LogHistogram;
 
-/// Samples a branch needs before its own distribution is used.
+/// Samples required before a branch's own distribution is used.
 const ENOUGH_SAMPLES: f64 = 24.0;
-/// Output assumed before anything was learned, in tokens.
+/// Output length assumed before any sample is recorded, in tokens.
 const ASSUMED_OUTPUT: f64 = 200.0;
 
-/// What is learned of one branch.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct BranchShape {
     output_tokens: LogHistogram,
@@ -19,7 +19,6 @@
     turns: LogHistogram,
 }
 
-/// What is learned of all branches.
 #[derive(Debug, Default)]
 pub(crate) struct Shapes {
     pool: BranchShape,
@@ -27,33 +26,33 @@
 }
 
 impl Shapes {
-    /// A call of the branch generated so many tokens.
+    /// Records the output length of a call.
     pub(crate) fn record_output(&mut self, branch: &BranchPath, output: Tokens) {
         self.pool.output_tokens.record(output.0);
         self.of_branch(branch).output_tokens.record(output.0);
     }
 
-    /// A program of the branch came back after a pause.
+    /// Records the length of a program's pause between two calls.
     pub(crate) fn record_pause(&mut self, branch: &BranchPath, pause: Duration) {
         let millis = pause.as_millis() as u64;
         self.pool.pause_millis.record(millis);
         self.of_branch(branch).pause_millis.record(millis);
     }
 
-    /// A program of the branch ended after so many calls.
+    /// Records the number of calls of a program that ended.
     pub(crate) fn record_turns(&mut self, branch: &BranchPath, turns: u32) {
         self.pool.turns.record(u64::from(turns));
         self.of_branch(branch).turns.record(u64::from(turns));
     }
 
-    /// Tokens a call of the branch is expected to generate, at most `limit`.
+    /// Expected output length of a call, at most `limit`.
     pub(crate) fn expected_output(&self, branch: &BranchPath, limit: Tokens) -> Tokens {
         let histogram = self.select(branch, |shape| &shape.output_tokens);
         let mean = histogram.mean().unwrap_or(ASSUMED_OUTPUT);
         Tokens(mean as u64).min(limit).max(Tokens(1))
     }
 
-    /// The probability that a program paused for `elapsed` makes its next call within `horizon`.
+    /// Probability that a program paused for `elapsed` makes its next call within `horizon`.
     pub(crate) fn returns_within(
         &self,
         branch: &BranchPath,
@@ -67,7 +66,7 @@
         chance.or(is_beyond_all.then_some(0.0))
     }
 
-    /// The probability that a pause which ends by a return lasts longer than `elapsed`.
+    /// Probability that a pause followed by another call lasts longer than `elapsed`.
     pub(crate) fn lasts_longer(&self, branch: &BranchPath, elapsed: Duration) -> Option<f64> {
         let histogram = self.select(branch, |shape| &shape.pause_millis);
         let all = histogram.weight();
@@ -75,7 +74,7 @@
         (all >= ENOUGH_SAMPLES).then(|| longer / all)
     }
 
-    /// The probability that a program which has made `turns` calls makes another one.
+    /// Probability that a program with `turns` completed calls makes another.
     pub(crate) fn goes_on_after(&self, branch: &BranchPath, turns: u32) -> Option<f64> {
         let histogram = self.select(branch, |shape| &shape.turns);
         let reached = histogram.weight_above(f64::from(turns.saturating_sub(1)));
--- a/crates/courseshed-dispatch/src/placement/adapters.rs
+++ b/crates/courseshed-dispatch/src/placement/adapters.rs
@@ -1,4 +1,4 @@
-//! Adapters follow demand on the engines that hold their model.
+//! Places adapters by demand on the engines that hold their base model.
 
 use courseshed_types::{EngineId, ModelName};
 
@@ -7,7 +7,7 @@
     fleet::{Fleet, part_of},
 };
 
-/// Adds moves of adapters. Their weights are small, so only the number of moves is bounded.
+/// Plans adapter moves. Adapter weights are small, so only the number of moves is limited.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
     for (model, demand) in &fleet.input.demand {
         for (adapter, wanted) in &demand.adapters {
@@ -27,7 +27,8 @@
     wanted > service * fleet.settings.grow_above
 }
 
-/// Loads an adapter on one more engine of its model, in place of one that nobody wants if need be.
+/// Loads an adapter on another engine that holds its model, replacing an adapter without demand if
+/// necessary.
 fn add_copy(fleet: &mut Fleet<'_>, model: &ModelName, adapter: &str) -> bool {
     let Some((engine, unwanted)) = best_engine(fleet, model, adapter) else {
         return false;
@@ -66,7 +67,7 @@
     best.map(|(_, id, unwanted)| (id.clone(), unwanted))
 }
 
-/// An adapter on the engine that nobody asks for.
+/// An adapter on the engine that has no demand.
 fn unwanted_on(fleet: &Fleet<'_>, holding: &EngineHolding) -> Option<HeldAdapter> {
     let is_wanted = |model: &ModelName, adapter: &String| {
         let demand = fleet.demand_of(model);
--- a/crates/courseshed-dispatch/src/placement/fleet.rs
+++ b/crates/courseshed-dispatch/src/placement/fleet.rs
@@ -1,4 +1,4 @@
-//! The engines as a plan changes them, and what is left of its allowance.
+//! Working state of a placement plan: engines after the planned moves, and the remaining budget.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,13 +8,13 @@
     EngineHolding, ModelDemand, PlacementChange, PlacementInput, PlacementMove, PlacementSettings,
 };
 
-/// A plan in the making.
+/// A placement plan under construction.
 pub(super) struct Fleet<'a> {
     pub(super) settings: &'a PlacementSettings,
     pub(super) input: &'a PlacementInput,
-    /// Engines as they will be after the moves so far.
+    /// Engines as they will be after the planned moves.
     pub(super) engines: BTreeMap<EngineId, EngineHolding>,
-    /// Engines that this plan changes already.
+    /// Engines already changed by this plan.
     touched: BTreeSet<EngineId>,
     moves: Vec<PlacementMove>,
     moves_left: usize,
@@ -46,12 +46,12 @@
         demand.filter(|demand| demand.service > 0.0)
     }
 
-    /// Whether so many moves with so many bytes in all are allowed.
+    /// Whether the remaining budget allows this many moves and bytes.
     pub(super) fn allows(&self, moves: usize, bytes: u64) -> bool {
         moves <= self.moves_left && bytes <= self.bytes_left
     }
 
-    /// Whether an engine takes orders and has been left alone for long enough.
+    /// Whether an engine is live, unchanged by this plan, and past its minimum dwell time.
     pub(super) fn is_settled(&self, engine: &EngineId) -> bool {
         let Some(holding) = self.engines.get(engine) else {
             return false;
@@ -63,7 +63,7 @@
         holding.is_live && rested && !self.touched.contains(engine)
     }
 
-    /// Whether an engine takes orders and this plan has not changed it.
+    /// Whether an engine is live and unchanged by this plan.
     pub(super) fn is_free(&self, engine: &EngineId) -> bool {
         let is_live = self
             .engines
@@ -72,7 +72,7 @@
         is_live && !self.touched.contains(engine)
     }
 
-    /// Adds a move and makes it.
+    /// Adds a move to the plan and applies it.
     pub(super) fn push(&mut self, engine: &EngineId, change: PlacementChange, bytes: u64) {
         let Some(holding) = self.engines.get_mut(engine) else {
             return;
@@ -94,13 +94,14 @@
         live.filter(move |(_, holding)| holding.models.contains_key(model))
     }
 
-    /// Units of service a second the model's engines give it; an engine is shared evenly by its models.
+    /// Service capacity available to a model, in units per second. Models on the same engine share
+    /// it evenly.
     pub(super) fn service_for(&self, model: &ModelName) -> f64 {
         let parts = self.holders(model).map(|(_, holding)| part_of(holding));
         parts.sum()
     }
 
-    /// Demand over service, were the service changed by so much; infinite without any service.
+    /// Utilization of a model if its capacity changed by `change`; infinite without capacity.
     pub(super) fn utilisation_with(&self, model: &ModelName, change: f64) -> f64 {
         let Some(demand) = self.demand_of(model) else {
             return 0.0;
@@ -119,10 +120,10 @@
     }
 }
 
-/// Less service than this is none.
+/// Capacity below this counts as zero.
 const SERVICE_ROUNDING: f64 = 1.0e-9;
 
-/// Units of service a second an engine gives each of its models.
+/// Service capacity per model on an engine, in units per second.
 pub(super) fn part_of(holding: &EngineHolding) -> f64 {
     holding.service / holding.models.len().max(1) as f64
 }
--- a/crates/courseshed-dispatch/src/placement/mod.rs
+++ b/crates/courseshed-dispatch/src/placement/mod.rs
@@ -1,13 +1,14 @@
-//! Which models, adapters and roles engines hold, as a pure function of demand and what they hold now.
+//! Placement of models, adapters and roles on engines, as a pure function of demand and current
+//! holdings.
 //!
-//! [`plan`] gives the next few moves; whoever executes them takes a fence from the controller for each
-//! ([`PlacementMove::into_order`]), notes when they were made, and asks again with what engines then hold. Damping is
-//! in three places: a model gains a copy above one utilisation and may lose one only if it stays below a clearly lower
-//! one; an engine that changed is left alone for a while; moves and bytes of weights are bounded per period, since
-//! the weight store limits its rate.
+//! [`plan`] returns the next moves. The caller obtains a fencing token from the controller for each
+//! move ([`PlacementMove::into_order`]), records when it was ordered, and plans again with the
+//! resulting holdings. Three mechanisms prevent oscillation: separate utilization thresholds for
+//! adding and removing copies, a minimum dwell time per engine, and limits on moves and bytes per
+//! period, which also respect the rate limit of the weight store.
 //!
-//! Invariants: the last copy of a model in demand is never dropped; a plan never loads more bytes in a period than
-//! allowed; with demand unchanged, plans become empty and stay so.
+//! Invariants: the last copy of a model in demand is never dropped; a plan never exceeds the
+//! period's byte limit; with constant demand, plans become empty and stay empty.
 
 mod adapters;
 mod fleet;
@@ -23,22 +24,24 @@
 
 use fleet::Fleet;
 
-/// How eagerly placement follows demand.
+/// Placement thresholds and limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementSettings {
-    /// A model whose demand exceeds this part of its engines' service gains a copy.
+    /// Utilization above which a model gains a copy.
     pub grow_above: f64,
-    /// A model may lose a copy, or share an engine with one more, only if it stays below this.
+    /// Utilization below which a model must stay for it to lose a copy or to share an engine with
+    /// another model.
     pub shrink_below: f64,
-    /// How long an engine is left alone after a change, unless a model in demand has no copy at all.
+    /// Minimum time between changes of an engine, unless a model in demand has no copy.
     pub minimum_dwell: Duration,
-    /// Time over which moves and bytes are bounded.
+    /// Period over which moves and bytes are limited.
     pub period: Duration,
-    /// Moves in a period.
+    /// Maximum number of moves per period.
     pub moves_per_period: usize,
-    /// Bytes of weights loaded in a period.
+    /// Maximum bytes of weights loaded per period.
     pub bytes_per_period: u64,
-    /// Engines of a model from which on they are split into prefill and decode; none never splits them.
+    /// Minimum number of engines of a model for splitting them into prefill and decode roles;
+    /// `None` disables the split.
     pub split_roles_from: Option<usize>,
 }
 
@@ -56,82 +59,82 @@
     }
 }
 
-/// What is asked of a model.
+/// Demand for a model.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ModelDemand {
-    /// Units of service asked for a second, smoothed.
+    /// Requested service in units per second, smoothed.
     pub service: f64,
-    /// Part of the service that is prefill, 0 to 1.
+    /// Fraction of the service that is prefill, 0 to 1.
     pub prefill_part: f64,
-    /// Bytes of its weights.
+    /// Size of the model's weights in bytes.
     pub weight_bytes: u64,
-    /// Units of service a second asked of each adapter; part of `service`.
+    /// Requested service per adapter in units per second, included in `service`.
     pub adapters: BTreeMap<String, f64>,
 }
 
-/// What part of a call an engine computes.
+/// The inference phases an engine runs.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PlacementRole {
-    /// Prompts and answers.
+    /// Prefill and decode.
     #[default]
     Both,
-    /// Prompts.
+    /// Prefill only.
     Prefill,
-    /// Answers.
+    /// Decode only.
     Decode,
 }
 
-/// An engine and what it holds.
+/// An engine and its current holdings.
 #[derive(Debug, Clone, PartialEq)]
 pub struct EngineHolding {
-    /// Its zone.
+    /// Zone of the engine.
     pub zone: ZoneName,
-    /// Whether it takes orders and work.
+    /// Whether the engine accepts orders and calls.
     pub is_live: bool,
-    /// Units of service it gives a second.
+    /// Service capacity in units per second.
     pub service: f64,
-    /// Models it can hold at once.
+    /// Number of models it can hold.
     pub model_slots: usize,
-    /// Adapters it can hold at once.
+    /// Number of adapters it can hold.
     pub adapter_slots: usize,
-    /// Models it holds or loads, with their adapters.
+    /// Models loaded or loading, with their adapters.
     pub models: BTreeMap<ModelName, Vec<String>>,
-    /// What it computes.
+    /// Current role.
     pub role: PlacementRole,
-    /// When placement last changed it.
+    /// When placement last changed the engine.
     pub changed_at: Option<Timestamp>,
 }
 
-/// A load of weights of late.
+/// A recent move, counted against the period's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct PastMove {
     /// When it was ordered.
     pub at: Timestamp,
-    /// Bytes of weights; zero for a drop or a change of role.
+    /// Bytes of weights loaded; zero for drops and role changes.
     pub bytes: u64,
 }
 
-/// Everything a plan depends on.
+/// Input of a placement plan.
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementInput {
-    /// The time.
+    /// Current time.
     pub now: Timestamp,
     /// Demand by model.
     pub demand: BTreeMap<ModelName, ModelDemand>,
-    /// Engines.
+    /// Engines by id.
     pub engines: BTreeMap<EngineId, EngineHolding>,
-    /// Moves ordered of late; those of an earlier period don't count.
+    /// Recent moves; those from earlier periods are ignored.
     pub past: Vec<PastMove>,
 }
 
-/// One change of what an engine holds.
+/// A change to an engine's holdings.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlacementChange {
     /// Load a model.
     LoadModel(ModelName),
     /// Drop a model.
     DropModel(ModelName),
-    /// Load an adapter of a model that it holds.
+    /// Load an adapter of a model that the engine holds.
     LoadAdapter(ModelName, String),
     /// Drop an adapter.
     DropAdapter(ModelName, String),
@@ -139,18 +142,18 @@
     SetRole(PlacementRole),
 }
 
-/// A move; moves of a plan are executed in order.
+/// A planned move. The moves of a plan must be executed in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PlacementMove {
-    /// The engine.
+    /// The engine to change.
     pub engine: EngineId,
-    /// What changes.
+    /// The change.
     pub change: PlacementChange,
 }
 
 impl PlacementMove {
-    /// The order to the engine under a fence of the controller; none for changes that dispatchers' orders don't
-    /// carry and the controller sends by itself.
+    /// Converts the move into an engine order with a fencing token; `None` for changes that the
+    /// controller sends itself.
     pub fn into_order(self, fence: u64) -> Option<EngineOrder> {
         let body = match self.change {
             PlacementChange::LoadModel(model) => EngineOrderBody::LoadModel { model, fence },
@@ -162,7 +165,7 @@
     }
 }
 
-/// The next moves; empty if what engines hold fits the demand well enough.
+/// Plans the next moves; empty if current holdings match the demand.
 pub fn plan(settings: &PlacementSettings, input: &PlacementInput) -> Vec<PlacementMove> {
     let mut fleet = Fleet::new(settings, input);
     models::plan(&mut fleet);
--- a/crates/courseshed-dispatch/src/placement/models.rs
+++ b/crates/courseshed-dispatch/src/placement/models.rs
@@ -1,5 +1,5 @@
-//! Copies of models follow demand: the model that is shortest of service gains a copy, in a free slot or in place of
-//! a model that has service to spare.
+//! Places model copies by demand: the most utilized model gains a copy, in a free slot or in place
+//! of a model with spare capacity.
 
 use courseshed_types::{EngineId, ModelName};
 
@@ -8,19 +8,19 @@
     fleet::{Fleet, part_of},
 };
 
-/// A way to give a model a copy.
+/// A candidate location for a model copy.
 #[derive(Debug, Clone)]
 struct CopyOption {
     engine: EngineId,
-    /// The model that gives way.
+    /// The model to evict, if no slot is free.
     victim: Option<ModelName>,
-    /// The highest utilisation that the move leaves to the engine's other models and the victim.
+    /// Highest resulting utilization among the engine's current models, including the evicted one.
     pressure: f64,
-    /// Copies of the model in the engine's zone already.
+    /// Existing copies of the model in the engine's zone.
     zone_copies: usize,
 }
 
-/// Adds moves of models.
+/// Plans model moves.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
     for model in shortest_first(fleet) {
         while is_short(fleet, &model) {
@@ -35,7 +35,7 @@
     fleet.utilisation_with(model, 0.0) > fleet.settings.grow_above
 }
 
-/// Models that need a copy, those without any first.
+/// Models that need another copy, by descending utilization.
 fn shortest_first(fleet: &Fleet<'_>) -> Vec<ModelName> {
     let models = fleet.input.demand.keys();
     let utilised = models.map(|model| (fleet.utilisation_with(model, 0.0), model.clone()));
@@ -48,7 +48,7 @@
     short.into_iter().map(|(_, model)| model).collect()
 }
 
-/// Gives a model one more copy; false if there is no way that helps.
+/// Adds a copy of a model; returns false if no move is possible.
 fn add_copy(fleet: &mut Fleet<'_>, model: &ModelName) -> bool {
     let Some(chosen) = best_option(fleet, model) else {
         return false;
@@ -111,7 +111,7 @@
     victims.into_iter().filter_map(option).collect()
 }
 
-/// The highest utilisation of the engine's present models if one more model shares it, or takes a victim's place.
+/// Highest utilization of the engine's current models after adding one model or replacing `victim`.
 fn pressure_after(fleet: &Fleet<'_>, holding: &EngineHolding, victim: Option<&ModelName>) -> f64 {
     let before = part_of(holding);
     let count = holding.models.len() + usize::from(victim.is_none());
--- a/crates/courseshed-dispatch/src/placement/roles.rs
+++ b/crates/courseshed-dispatch/src/placement/roles.rs
@@ -1,14 +1,15 @@
-//! Engines of one model are split into prefill and decode by the parts of its service, where there are enough.
+//! Splits the dedicated engines of a model into prefill and decode roles by the prefill fraction of
+//! its demand.
 
 use courseshed_types::{EngineId, ModelName};
 
 use super::{PlacementChange, PlacementRole, fleet::Fleet};
 
-/// Engines by which the split must be off before one changes its role; above one half, so that a share that lies
-/// between two numbers of engines does not make them change back and forth.
+/// Deviation from the target split, in engines, above which a role changes. Greater than one half,
+/// so that a target between two integers does not make roles oscillate.
 const LEAST_DIFFERENCE: f64 = 0.75;
 
-/// Adds changes of roles.
+/// Plans role changes.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
     let Some(least) = fleet.settings.split_roles_from else {
         return;
@@ -55,7 +56,7 @@
     }
 }
 
-/// The role of an engine that has one: changed only if the split is clearly off.
+/// The role for an engine that already has one; changes only if the split deviates enough.
 fn corrected(
     fleet: &Fleet<'_>,
     engines: &[EngineId],
