--- a/crates/courseshed-dispatch/src/systems/announcing.rs
+++ b/crates/courseshed-dispatch/src/systems/announcing.rs
@@ -1,19 +1,20 @@
-//! Shards announce their calls to a new dispatcher, and new leaders announce theirs to a known one.
+//! Announcement protocol: shards list their calls to a new dispatcher, and new leaders to an
+//! existing one.
 
 use courseshed_types::{CallId, ShardId, Timestamp, dispatch::DispatchEventBody};
 
 use crate::{state::State, systems::intake, tables::Timer};
 
-/// How often a shard that stays silent is asked to announce its calls.
+/// Maximum number of announcement requests to a silent shard.
 const MAX_ASKED: u32 = 5;
 
-/// Expects a shard that speaks for the first time, or under a new leader, to announce its calls.
+/// Starts the announcement timer of a new shard or a shard with a new leader.
 pub(crate) fn expect(state: &mut State, now: Timestamp, shard: ShardId) {
     let at = now + state.config.announce_grace;
     state.timers.set(at, Timer::Announce(shard));
 }
 
-/// Asks a shard for its calls if it has not announced them by itself.
+/// Requests an announcement from a shard that has not sent one.
 pub(crate) fn ask(state: &mut State, now: Timestamp, shard: ShardId) {
     let Some(entry) = state.shards.get_mut(shard) else {
         return;
@@ -27,7 +28,7 @@
     state.say(shard, DispatchEventBody::AnnounceAll);
 }
 
-/// The shard has named all its calls: others of it are gone.
+/// Handles the end of an announcement: calls of the shard that were not named are dropped.
 pub(crate) fn complete(state: &mut State, shard: ShardId) {
     let Some(entry) = state.shards.get_mut(shard) else {
         return;
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -1,7 +1,9 @@
-//! Gives waiting calls to engines while there is room: decided as late as engines stay full.
+//! Assigns queued calls to engines with capacity. Calls stay queued while all engines are full, so
+//! that decisions are made as late as possible.
 //!
-//! A call that no engine has the memory for first takes memory back from paused programs; then smaller calls pass
-//! it, but not for ever: after a while one engine is kept free of other calls until it fits there.
+//! A call for which no engine has enough memory first reclaims memory leased by paused programs. If
+//! that does not help, smaller calls may bypass it for a limited time; then an engine is reserved
+//! for it until it fits.
 
 use courseshed_types::{
     CallId, EngineId, Timestamp, Tokens,
@@ -19,10 +21,10 @@
     units::Service,
 };
 
-/// Calls that fit no engine now and are passed over in one run.
+/// Maximum number of calls that may be bypassed in one run because they fit on no engine.
 const MAX_PASSED_OVER: usize = 8;
 
-/// Assigns calls until no engine has room or no call is left that fits.
+/// Assigns calls until no engine has a slot or no remaining call fits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     parking::run(state, now);
     let mut passed_over: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
@@ -54,7 +56,7 @@
     }
 }
 
-/// The engine for a call, with memory taken back from paused programs if nothing else helps.
+/// Selects an engine for a call, reclaiming leased memory if necessary.
 fn choose(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> Option<EngineId> {
     let chosen = engine_choice::choose(state, now, call, closed);
     if chosen.is_some() || !reclaim::make_room(state, now, call, closed) {
@@ -63,7 +65,7 @@
     engine_choice::choose(state, now, call, closed)
 }
 
-/// Gives a call that is in no queue any more to an engine.
+/// Assigns a dequeued call to an engine.
 pub(crate) fn give(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
     queueing::stop_waiting(state, call);
     let import = transfers::import(state, call, engine);
@@ -76,7 +78,7 @@
     state.drain_rate.record(now, 1.0);
 }
 
-/// Notes that a call is passed over; if it has been for long, closes an engine to the calls after it.
+/// Records that a call is being bypassed; after `pass_over`, closes an engine to other calls.
 fn keep_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
     let patience = state.config.pass_over;
     let Some(entry) = state.calls.get_mut(&call) else {
@@ -91,7 +93,7 @@
     }
 }
 
-/// Accounts for a call on an engine: its room, its charge, its program's lease.
+/// Accounts for a call on an engine: slot, memory, charge, and the end of its program's lease.
 pub(crate) fn place(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -109,7 +111,7 @@
     state.calls.set_phase(&call, CallPhase::Assigned(placement));
 }
 
-/// Tells the shard where a call that was assigned shall run.
+/// Sends a call's assignment to its shard.
 pub(crate) fn announce(state: &mut State, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -131,8 +133,8 @@
     state.say(shard, body);
 }
 
-/// Sends an assignment again that was not confirmed; one to an engine that has begun to leave is taken back, and
-/// its call waits anew. Should the shard have taken the first one after all, it says where the call runs.
+/// Resends an unconfirmed assignment. If the engine is draining, the assignment is revoked and the
+/// call queued again; a shard that had committed the first assignment reports so in `Started`.
 pub(crate) fn resend(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -150,14 +152,14 @@
     state.timers.set(at, Timer::Resend(call));
 }
 
-/// The service a call is expected to take on an engine.
+/// Expected service of a call on an engine.
 pub(crate) fn expected_charge(state: &State, call: CallId, engine: &EngineId) -> Service {
     let program = state.programs.get(&call.program);
     let cached = program.map_or(Tokens::ZERO, |program| program.cached_on(engine));
     expected_service(state, call, cached)
 }
 
-/// The service a call is expected to take where so many tokens of its prompt are cached.
+/// Expected service of a call when `cached` tokens of its prompt are cached.
 pub(crate) fn expected_service(state: &State, call: CallId, cached: Tokens) -> Service {
     let Some(entry) = state.calls.get(&call) else {
         return Service(1);
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -1,5 +1,5 @@
-//! What is believed of the engines' prefix caches: noted when calls end, moved by late and incomplete events, and
-//! reconciled with the engines' own listings.
+//! Tracks the prefix caches of engines: recorded when calls finish, updated by cache events, which
+//! may be late or missing, and reconciled with the engines' listings.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -15,12 +15,13 @@
     tables::CachedPrefix,
 };
 
-/// A listing may be so old: prefixes filled since are not held against it.
+/// Maximum age of a listing. Leases of programs paused more recently are not reconciled with it.
 const LISTING_LAG: Duration = Duration::from_secs(3);
-/// A lookup may find so much less than is cached: it rounds down to blocks and leaves a token to compute.
+/// Cache hits may fall short of the cached tokens by this much, because lookups round down to
+/// blocks and leave at least one token to compute.
 const LOOKUP_ROUNDING: Tokens = Tokens(64);
 
-/// A call of the program ended on the engine, so its prefix is cached there.
+/// Records the prefix cached by a call that finished on an engine.
 pub(crate) fn filled(state: &mut State, program: ProgramId, engine: &EngineId, usage: &Usage) {
     note_found(state, program, engine, usage.cached_tokens);
     if usage.cached_tokens > Tokens::ZERO {
@@ -32,7 +33,7 @@
     put(state, program, engine, tokens, unused);
 }
 
-/// Notes what is cached of a program now; an earlier prefix of it is replaced.
+/// Records a program's cached prefix, replacing the previous one.
 pub(crate) fn put(
     state: &mut State,
     program: ProgramId,
@@ -55,13 +56,14 @@
     recount(state, &branch, before, tokens);
 }
 
-/// Brings the account of what is cached for a branch up to date.
+/// Updates a branch's count of cached tokens.
 pub(crate) fn recount(state: &mut State, branch: &BranchPath, before: Tokens, after: Tokens) {
     let account = state.cache_account(branch);
     account.cached = (account.cached + after.0).saturating_sub(before.0);
 }
 
-/// A call found less of its prefix than was believed there: the rest was evicted unheard.
+/// Shrinks the recorded prefix if a call found less of it cached: the rest was evicted without an
+/// event.
 fn note_found(state: &mut State, program: ProgramId, engine: &EngineId, found: Tokens) {
     let prefix = state
         .programs
@@ -74,7 +76,7 @@
     }
 }
 
-/// Takes an event of an engine's cache.
+/// Handles a cache event. Duplicates are ignored and gaps counted.
 pub(crate) fn take_event(state: &mut State, engine: &EngineId, event: CacheEvent) {
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
@@ -93,8 +95,8 @@
     }
 }
 
-/// Takes an engine's own listing of its leases. A prefix without lease may be cached all the same, so only what
-/// is believed of leases is corrected.
+/// Reconciles leases with an engine's listing. A prefix may be cached without a lease, so only
+/// lease state is corrected.
 pub(crate) fn take_listing(
     state: &mut State,
     now: Timestamp,
@@ -116,7 +118,7 @@
     release_strangers(state, now, engine, listing);
 }
 
-/// The engine lost its cache.
+/// Drops all recorded prefixes of an engine that lost its cache.
 pub(crate) fn lost(state: &mut State, engine: &EngineId) {
     let programs: Vec<ProgramId> = state
         .programs
@@ -133,7 +135,8 @@
     }
 }
 
-/// A program that goes on elsewhere leaves its prefix behind.
+/// Drops the recorded prefix of a program that continues on another engine. If it continues on the
+/// same engine, only the lease ends.
 pub(crate) fn leave_behind(state: &mut State, program: ProgramId, engine: &EngineId) {
     let prefix = state
         .programs
@@ -188,8 +191,8 @@
     }
 }
 
-/// The branch that an eviction is charged to: the owner if it has more cached than its part of the pool, else the
-/// branch that exceeds its part most.
+/// The branch charged for an eviction: the owner if its cached tokens exceed its entitled share,
+/// else the branch that exceeds its entitled share most.
 fn cause_of_eviction(state: &State, owner: &BranchPath) -> BranchPath {
     let all: u64 = state.caches.values().map(|account| account.cached).sum();
     let excess = |branch: &BranchPath, cached: u64| {
@@ -214,7 +217,8 @@
     }
 }
 
-/// Leases of programs paused for longer than a listing lags, and their tokens.
+/// Leased programs on an engine that have been paused for longer than `LISTING_LAG`, with their
+/// leased tokens.
 fn believed_on(state: &State, now: Timestamp, engine: &EngineId) -> Vec<(ProgramId, Tokens)> {
     let mut believed = Vec::new();
     for (id, program) in state.programs.iter() {
@@ -231,8 +235,9 @@
     believed
 }
 
-/// Releases leases of programs that nobody here knows, once a new dispatcher has had time to learn of all. An
-/// engine of several models may hold programs of other pools: there leases only run out.
+/// Releases leases of unknown programs, once a new dispatcher has had time to learn about all
+/// programs. On an engine that serves several models the programs may belong to other pools, so
+/// their leases are left to expire.
 fn release_strangers(state: &mut State, now: Timestamp, engine: &EngineId, listing: &[LeaseEntry]) {
     let serves_one_model = state
         .engines
--- a/crates/courseshed-dispatch/src/systems/engine_choice.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_choice.rs
@@ -1,7 +1,7 @@
-//! Chooses the engine of a call: prefill saved by the cached prefix against load, memory and zone.
+//! Engine selection: weighs prefill saved by a cached prefix against load, memory and zone.
 //!
-//! Every engine that may be chosen has a free slot, so affinity never makes a call wait and can't bend the shares:
-//! the charge of a call is at most that of a call without any cached prefix.
+//! Only engines with a free slot are candidates, so cache affinity neither delays a call nor
+//! distorts shares: a call is charged at most what it would cost without a cached prefix.
 
 use std::collections::BTreeSet;
 
@@ -14,38 +14,37 @@
     tables::{EngineEntry, ProgramEntry},
 };
 
-/// Cost of an engine that failed the call before: only if there is no other.
+/// Cost of an engine on which the call failed before; chosen only as a last resort.
 const AVOIDED_COST: u64 = u64::MAX / 4;
-/// Part of a prompt that must be cached on an engine for prefix affinity to follow it.
+/// Fraction of the prompt that must be cached on an engine for prefix affinity.
 const AFFINITY_LEAST_MATCH: f64 = 0.5;
-/// Calls by which the most loaded engine may exceed the least loaded before prefix affinity gives way ...
+/// Difference in load between the most and least loaded engines above which they count as
+/// imbalanced and prefix affinity is disabled.
 const AFFINITY_IMBALANCE: u32 = 32;
-/// ... if it also exceeds it by this factor.
+/// Ratio of the highest to the lowest load that must also be exceeded for an imbalance.
 const AFFINITY_IMBALANCE_RATIO: f64 = 1.1;
 
-/// Engines that take no more calls in one run, because a large call needs their memory.
+/// Engines closed to further calls in one run because their memory is reserved for a large call.
 #[derive(Debug, Default)]
 pub(crate) struct Closed(BTreeSet<EngineId>);
 
 impl Closed {
-    /// Closes an engine.
     pub(crate) fn close(&mut self, engine: EngineId) {
         self.0.insert(engine);
     }
 
-    /// Whether an engine still takes calls.
     pub(crate) fn is_open(&self, engine: &EngineId) -> bool {
         !self.0.contains(engine)
     }
 }
 
-/// A call as the choice sees it, looked up once for all engines.
+/// A call and the data that engine selection needs, looked up once for all engines.
 struct Wanted<'a> {
     call: &'a WaitingCall,
     program: Option<&'a ProgramEntry>,
-    /// KV memory it is expected to take.
+    /// KV memory the call is expected to use.
     memory: Tokens,
-    /// The priority that engines are told.
+    /// Priority sent to the engine.
     priority: i32,
 }
 
@@ -60,7 +59,7 @@
         })
     }
 
-    /// Memory already held on the engine for the call's own program.
+    /// Memory leased on the engine for the call's own program.
     fn held_on(&self, engine: &EngineId) -> Tokens {
         let prefix = self.program.and_then(|program| program.prefix.as_ref());
         match prefix {
@@ -69,7 +68,7 @@
         }
     }
 
-    /// Tokens of the prompt that need not be computed there, as far as is known.
+    /// Prompt tokens that need not be computed on the engine, as far as is known.
     fn spared_on(&self, state: &State, engine: &EngineId) -> Tokens {
         let is_known = |program: &&ProgramEntry| program.prefix.is_some() || program.exported.0 > 0;
         match self.program.filter(is_known) {
@@ -80,7 +79,7 @@
     }
 }
 
-/// Whether any engine has a free slot, or one that the call may overtake another for.
+/// Whether any engine has a free slot, or one that the call's priority entitles it to.
 pub(crate) fn any_room(state: &State, now: Timestamp, call: CallId) -> bool {
     let priority = sent_priority(state, call);
     state
@@ -89,24 +88,24 @@
         .any(|(_, engine)| has_slot(state, engine, now, priority))
 }
 
-/// The priority that engines are told.
+/// Priority sent to the engine.
 pub(crate) fn sent_priority(state: &State, call: CallId) -> i32 {
     let entry = state.calls.get(&call);
     entry.map_or(0, |entry| priority_of(state, &entry.call))
 }
 
-/// KV memory a call is expected to take.
+/// KV memory a call is expected to use.
 pub(crate) fn needed_memory(state: &State, call: CallId) -> Tokens {
     let entry = state.calls.get(&call);
     entry.map_or(Tokens::ZERO, |entry| memory_of(state, &entry.call))
 }
 
-/// Memory already held on the engine for the call's own program.
+/// Memory leased on the engine for the call's own program.
 pub(crate) fn held_for(state: &State, call: CallId, engine: &EngineId) -> Tokens {
     Wanted::of(state, call).map_or(Tokens::ZERO, |wanted| wanted.held_on(engine))
 }
 
-/// The engine for a waiting call, if one has room for it.
+/// Selects an engine with capacity for a queued call.
 pub(crate) fn choose(
     state: &State,
     now: Timestamp,
@@ -124,7 +123,7 @@
     best.map(|(_, engine)| engine.clone())
 }
 
-/// Whether an engine has a slot and the memory for a call.
+/// Whether an engine has a slot and enough memory for a call.
 pub(crate) fn has_room(state: &State, now: Timestamp, call: CallId, engine: &EngineId) -> bool {
     let (Some(wanted), Some(engine)) = (Wanted::of(state, call), state.engines.get(engine)) else {
         return false;
@@ -132,8 +131,9 @@
     has_slot(state, engine, now, wanted.priority) && fits(state, now, engine, &wanted)
 }
 
-/// The engine on which the least has to end before a call fits; none if the call is too large for all, or if
-/// engines that are closed already would leave less than half.
+/// The engine with the most memory available to a call that fits on none now; `None` if the call
+/// exceeds every engine's memory, or if closing another engine would leave less than half of them
+/// open.
 pub(crate) fn roomiest(
     state: &State,
     now: Timestamp,
@@ -160,7 +160,7 @@
         .map(|(id, _)| id.clone())
 }
 
-/// Whether an engine would take a call of this priority, memory apart.
+/// Whether an engine has a slot for a call of this priority, memory aside.
 pub(crate) fn has_slot(state: &State, engine: &EngineEntry, now: Timestamp, priority: i32) -> bool {
     let in_grace = now < state.grace_until && engine.report.is_none();
     if in_grace || !engine.takes_work(now, &state.pool.model) {
@@ -182,7 +182,8 @@
     call.prompt_tokens.saturating_add(output)
 }
 
-/// Whether an engine has the memory. A call that overtakes takes the memory of the one that gives way.
+/// Whether an engine has enough memory. An urgent call beyond the slot limit may use the memory of
+/// the call it preempts.
 fn fits(state: &State, now: Timestamp, engine: &EngineEntry, wanted: &Wanted) -> bool {
     let Some(room) = engine.memory_room(&state.config) else {
         return true;
@@ -196,7 +197,8 @@
     engine.in_flight == 0 || room.saturating_add(held) >= wanted.memory
 }
 
-/// What the choice costs, in units of service; the call's own decode is the same everywhere.
+/// Selection cost in service units. The call's decode cost is the same on all engines and is
+/// omitted.
 fn cost(state: &State, now: Timestamp, wanted: &Wanted, engine: &EngineEntry) -> u64 {
     let id = &engine.member.engine;
     let load = load_cost(state, now, engine);
@@ -215,8 +217,8 @@
     base + avoidance
 }
 
-/// The load of an engine: the fuller of its slots and of the memory of its calls. What paused programs hold does not
-/// slow an engine down and is given up when a call needs it.
+/// Load of an engine: the higher of its slot and memory utilization. Leased memory is ignored,
+/// since it does not slow the engine down and can be reclaimed.
 fn load_cost(state: &State, now: Timestamp, engine: &EngineEntry) -> u64 {
     let penalty = state.config.load_penalty;
     let limit = u64::from(engine.call_limit(&state.config, now).max(1));
@@ -228,8 +230,8 @@
     }
 }
 
-/// Cache-aware routing: the engine with the prefix, unless loads are out of balance or too little of the prompt is
-/// cached there; then the least loaded.
+/// Cost under cache-aware routing: prefers the engine with the prefix, or the least loaded one if
+/// loads are imbalanced or too little of the prompt is cached.
 fn affinity_cost(
     state: &State,
     now: Timestamp,
@@ -256,7 +258,8 @@
     apart && f64::from(most) > AFFINITY_IMBALANCE_RATIO * f64::from(least)
 }
 
-/// Moving a prefix or a stream over zones costs; the program's last engine names its zone.
+/// Penalty for an engine outside the zone of the program's last engine, which would move the prefix
+/// or the stream across zones.
 fn zone_cost(state: &State, call: &WaitingCall, engine: &EngineEntry) -> u64 {
     let last = call
         .last_engine
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -1,4 +1,4 @@
-//! Engines join, leave, report, fail, are ejected for a while and come back slowly.
+//! Engine membership, load reports, outlier ejection and slow start.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
     tables::{EngineEntry, Timer},
 };
 
-/// Takes the list of engines over; it names all engines, those of other pools too.
+/// Applies the engine directory, which lists the engines of all pools.
 pub(crate) fn take_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
     let of_pool = |member: &&EngineMember| {
         member.region == state.pool.region && member.models.contains(&state.pool.model)
@@ -36,7 +36,7 @@
     }
 }
 
-/// Takes a load report over.
+/// Handles a load report.
 pub(crate) fn take_load(state: &mut State, now: Timestamp, engine: &EngineId, load: EngineLoad) {
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
@@ -47,7 +47,7 @@
     }
 }
 
-/// The engine can't be reached: it is ejected at once.
+/// Ejects an unreachable engine.
 pub(crate) fn unreachable(state: &mut State, now: Timestamp, engine: &EngineId) {
     let needed = state.config.failures_to_eject;
     if let Some(entry) = state.engines.get_mut(engine) {
@@ -56,7 +56,7 @@
     }
 }
 
-/// A call ended well there.
+/// Records a successful call on an engine.
 pub(crate) fn succeeded(state: &mut State, now: Timestamp, engine: &EngineId) {
     if let Some(entry) = state.engines.get_mut(engine) {
         entry.health.failures = 0;
@@ -68,7 +68,7 @@
     }
 }
 
-/// A call failed there by the engine's fault.
+/// Records a call that failed through the engine's fault, ejecting the engine if necessary.
 pub(crate) fn failed(state: &mut State, now: Timestamp, engine: &EngineId) {
     let needed = state.config.failures_to_eject;
     let Some(entry) = state.engines.get_mut(engine) else {
@@ -81,7 +81,7 @@
     }
 }
 
-/// An ejection ended or slow start went on.
+/// Handles an engine timer: ends an ejection or advances slow start.
 pub(crate) fn recheck(state: &mut State, now: Timestamp, engine: &EngineId) {
     let slow_start = state.config.slow_start;
     let Some(entry) = state.engines.get_mut(engine) else {
@@ -125,7 +125,7 @@
     }
 }
 
-/// Counts calls that were placed on an engine before it was listed.
+/// Accounts for calls that were placed on an engine before it was listed.
 fn adopt_calls(state: &State, entry: &mut EngineEntry) {
     for (_, call) in state.calls.iter() {
         match call.placement() {
@@ -162,7 +162,7 @@
     }
 }
 
-/// Slow start is looked at again in a tenth of its time.
+/// Schedules the next slow-start step, a tenth of the slow-start time.
 fn set_warming_timer(state: &mut State, now: Timestamp, engine: &EngineId) {
     let step = state.config.slow_start / 10;
     state.timers.set(now + step, Timer::Engine(engine.clone()));
--- a/crates/courseshed-dispatch/src/systems/expiry.rs
+++ b/crates/courseshed-dispatch/src/systems/expiry.rs
@@ -1,4 +1,4 @@
-//! Runs what has fallen due.
+//! Dispatches due timers to their systems.
 
 use courseshed_types::Timestamp;
 
@@ -8,7 +8,6 @@
     tables::Timer,
 };
 
-/// Runs every timer that is due.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     while let Some(timer) = state.timers.pop_due(now) {
         match timer {
--- a/crates/courseshed-dispatch/src/systems/fairness.rs
+++ b/crates/courseshed-dispatch/src/systems/fairness.rs
@@ -1,15 +1,16 @@
 //! Hierarchical weighted fair sharing.
 //!
-//! Start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996) at every node of the tree: the child whose next
-//! service starts earliest in virtual time goes first, and its start moves on by service over weight. Service is
-//! charged by estimate when a call is given to an engine and corrected by what the engine counted. Urgent calls
-//! overtake by a bounded warp (borrowed virtual time, Duda and Cheriton, SOSP 1999): they are charged in full, so
-//! long-run shares stay. Floors are reservations against the pool's whole service (mClock, Gulati et al., OSDI
-//! 2010) and go before shares.
+//! Start-time fair queueing (Goyal, Vin, Cheng, SIGCOMM 1996) at every node of the tree: the child
+//! with the lowest start tag is served first, and its start tag advances by service over weight.
+//! Service is charged by estimate when a call is assigned and corrected when its usage is reported.
+//! Urgent calls run ahead by a bounded warp (borrowed virtual time, Duda and Cheriton, SOSP 1999)
+//! but are charged in full, so long-run shares hold. Guaranteed minimums are reservations against
+//! the pool's total service (mClock, Gulati et al., OSDI 2010) and take precedence over shares.
 //!
-//! Bound: over any span in which two siblings are backlogged at one priority and no floor decides, their services
-//! over their weights differ by at most (cost + correction) over weight of the one plus the same of the other,
-//! where cost is the largest charge of a call and correction the largest sum of corrections under way.
+//! Bound: over any interval in which two siblings are backlogged at the same priority and no
+//! guaranteed minimum applies, their normalized services (service over weight) differ by at most
+//! the sum, over both siblings, of (cost + correction) / weight, where cost is the largest charge
+//! of a call and correction the largest sum of outstanding corrections.
 
 use courseshed_types::CallId;
 
@@ -18,8 +19,9 @@
     units::{Service, VirtualTime},
 };
 
-/// Brings the listings of a node and all above it up to date. `warp` is the service one step of priority may
-/// overtake by. A node that was idle starts no earlier than its parent's virtual time unless `keeps_credit`.
+/// Updates the listings of a node and its ancestors. `warp` is the service by which one priority
+/// step may run ahead. A node that was idle starts no earlier than its parent's virtual time unless
+/// `keeps_credit` is set.
 pub(crate) fn refresh(tree: &mut BranchTable, from: NodeIndex, warp: u64, keeps_credit: bool) {
     let mut current = Some(from);
     while let Some(index) = current {
@@ -32,7 +34,8 @@
     }
 }
 
-/// The call to be served next: below the most overdue floor, else by shares.
+/// The next call to serve: under the most overdue guaranteed minimum if there is one, else by
+/// shares.
 pub(crate) fn next_call(tree: &BranchTable) -> Option<(NodeIndex, CallId)> {
     let mut index = overdue_floor(tree).unwrap_or(NodeIndex::ROOT);
     while let Some((_, child)) = tree.node(index).active.first() {
@@ -42,7 +45,8 @@
     Some((index, *call))
 }
 
-/// Moves the virtual times above a queue on to the service that starts there; before the call is taken out.
+/// Advances the virtual times above a queue to the start tags of its next service. Must be called
+/// before the call is dequeued.
 pub(crate) fn begin_service(tree: &mut BranchTable, queue: NodeIndex) {
     for index in path(tree, queue) {
         let node = tree.node(index);
@@ -53,7 +57,7 @@
     }
 }
 
-/// Charges service to a queue and all above it.
+/// Charges service to a queue and its ancestors.
 pub(crate) fn charge(tree: &mut BranchTable, queue: NodeIndex, service: Service, warp: u64) {
     for index in path(tree, queue) {
         advance(tree, index, i128::from(service.0));
@@ -61,7 +65,7 @@
     refresh(tree, queue, warp, true);
 }
 
-/// Replaces a charge made by estimate by what was counted.
+/// Replaces an estimated charge by the reported service.
 pub(crate) fn correct(
     tree: &mut BranchTable,
     queue: NodeIndex,
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/intake.rs
@@ -1,4 +1,5 @@
-//! Takes in what shard leaders say. Every message may come twice, late, or of a leader that was replaced.
+//! Handles messages from shard leaders. Messages may be duplicated, delayed, or sent by a replaced
+//! leader.
 
 use std::cmp::Ordering;
 
@@ -15,7 +16,6 @@
     units::Service,
 };
 
-/// Takes one message.
 pub(crate) fn take(state: &mut State, now: Timestamp, request: DispatchRequest) {
     if request.pool != state.pool {
         return;
@@ -43,14 +43,14 @@
     }
 }
 
-/// Removes a call whatever it is doing, and undoes what it was charged but did not use.
+/// Removes a call in any phase and refunds its charge.
 pub(crate) fn forget_call(state: &mut State, call: CallId) {
     if let Some(entry) = queueing::remove(state, call) {
         settle(state, &entry, Some(Service(0)));
     }
 }
 
-/// Lets a call that was given to an engine wait again, as if it had just come.
+/// Revokes a call's assignment and queues it again.
 pub(crate) fn wait_anew(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -73,7 +73,7 @@
     queueing::enqueue(state, now, id);
 }
 
-/// Counts what a call asks of the pool, what is cached of its prompt left out.
+/// Records a call's expected demand, excluding cached prompt tokens.
 fn note_demand(state: &mut State, now: Timestamp, call: &WaitingCall) {
     let program = state.programs.get(&call.call.program);
     let prefix = program.and_then(|program| program.prefix.as_ref());
@@ -163,8 +163,8 @@
     }
 }
 
-/// Whether a call is new here; an earlier attempt or call of its program is removed, since the program's shard
-/// must have settled it.
+/// Whether a call should be enqueued. An earlier attempt or call of its program is removed, since
+/// the program's shard must have settled it.
 fn make_room(state: &mut State, shard: ShardId, call: &WaitingCall) -> bool {
     if has_ended(state, call) {
         state.counters.stale_attempts += 1;
@@ -190,7 +190,7 @@
     }
 }
 
-/// A call that is known is named again; its assignment may have been lost.
+/// Refreshes a call that its shard named again, and resends its assignment in case it was lost.
 fn name_again(state: &mut State, shard: ShardId, call: CallId) {
     let generation = generation_of(state, shard);
     if let Some(known) = state.calls.get_mut(&call) {
@@ -214,7 +214,7 @@
     });
 }
 
-/// Confirms an assignment this dispatcher made; false if the call is not known so.
+/// Confirms an assignment made by this dispatcher; false if there is no matching assignment.
 fn confirm(state: &mut State, shard: ShardId, call: &WaitingCall, engine: &EngineId) -> bool {
     let generation = generation_of(state, shard);
     let Some(known) = state.calls.get_mut(&call.call) else {
@@ -242,7 +242,7 @@
     }
 }
 
-/// Removes an attempt that ended, if it is the one known, and notes its end in any case.
+/// Records the end of an attempt, and removes its call unless a later attempt is known.
 fn end_attempt(state: &mut State, request: &RequestId) -> Option<CallEntry> {
     let program = state.programs.get_mut(&request.call.program)?;
     if program.has_ended(request) {
@@ -257,7 +257,7 @@
     queueing::remove(state, request.call)
 }
 
-/// Gives an engine's room back and replaces the charged estimate by what was counted.
+/// Releases the call's capacity on its engine and replaces the estimated charge by `counted`.
 fn settle(state: &mut State, entry: &CallEntry, counted: Option<Service>) {
     let Some(placement) = entry.placement() else {
         return;
@@ -272,7 +272,7 @@
     }
 }
 
-/// Notes that a program makes a call again, and learns from its pause.
+/// Marks a program as active again and records the length of its pause.
 fn note_return(state: &mut State, now: Timestamp, shard: ShardId, call: &WaitingCall) {
     let program = call.call.program;
     let entry = state.programs.get_or_insert(program, &call.branch, shard);
--- a/crates/courseshed-dispatch/src/systems/liveness.rs
+++ b/crates/courseshed-dispatch/src/systems/liveness.rs
@@ -1,8 +1,8 @@
-//! Asks shards whether the paused programs that engine memory is held for still live.
+//! Checks with shards whether paused programs that hold leases are still alive.
 //!
-//! The word that a program ended may be lost. Whenever a lease is renewed, its program's shard is asked, so that memory
-//! is held for an ended program no longer than a lease after the shard can be reached. Questions are gathered for a
-//! while, since each costs a message.
+//! The message that a program has ended may be lost. The program's shard is asked at each lease
+//! renewal, so that an ended program holds memory for at most one lease time after its shard
+//! becomes reachable. Checks are batched to limit the number of messages.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -11,23 +11,23 @@
 
 use crate::state::State;
 
-/// Time between two questions to one shard.
+/// Minimum time between batches of checks.
 const INTERVAL: Duration = Duration::from_secs(1);
 
-/// Programs to ask about.
+/// Programs to check, by shard.
 #[derive(Debug, Default)]
 pub(crate) struct LivenessChecks {
     by_shard: BTreeMap<ShardId, BTreeSet<ProgramId>>,
     next: Timestamp,
 }
 
-/// Notes that memory is held for a paused program.
+/// Adds a paused program with a lease to the next batch.
 pub(crate) fn note(state: &mut State, shard: ShardId, program: ProgramId) {
     let programs = state.checks.by_shard.entry(shard).or_default();
     programs.insert(program);
 }
 
-/// Asks, if it is time.
+/// Sends the batch if the interval has elapsed.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     if now < state.checks.next || state.checks.by_shard.is_empty() {
         return;
--- a/crates/courseshed-dispatch/src/systems/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/mod.rs
@@ -1,4 +1,4 @@
-//! The systems that run over the tables.
+//! Systems that operate on the tables.
 
 pub(crate) mod announcing;
 pub(crate) mod assignment;
--- a/crates/courseshed-dispatch/src/systems/ordering.rs
+++ b/crates/courseshed-dispatch/src/systems/ordering.rs
@@ -1,10 +1,11 @@
-//! The order of calls inside a branch.
+//! Order of calls within a branch.
 //!
-//! A call's rank is its arrival moved by bounded amounts, so every call is overtaken only by calls that arrive
-//! within a bounded time after it: none starves. Programs that have attained little service go first (least
-//! attained service over the whole family of calls, as in Autellix, Luo et al. 2025), because most programs are
-//! short and which ones are is not known; programs close to their aim go before that, weighed by worth; programs
-//! that have missed their aim give way.
+//! A call's rank is its arrival time adjusted by bounded amounts, so a call is overtaken only by
+//! calls that arrive within a bounded time after it and cannot starve. Programs with little
+//! attained service go first (least attained service over the whole call tree, as in Autellix, Luo
+//! et al. 2025), because most programs are short and their lengths are unknown; the effect is
+//! scaled by the program's value weight. Programs that have missed their target completion time are
+//! deferred.
 
 use std::time::Duration;
 
@@ -16,20 +17,20 @@
     tables::Rank,
 };
 
-/// Delay of each doubling of attained service.
+/// Delay per doubling of attained service.
 const DELAY_PER_DOUBLING: Duration = Duration::from_millis(500);
-/// Attained service below which there is no delay, in tokens.
+/// Attained service in tokens up to which no delay applies.
 const LEAST_ATTAINED: f64 = 1_000.0;
-/// Longest delay by attained service.
+/// Maximum delay from attained service.
 const MAX_DELAY: Duration = Duration::from_secs(8);
-/// Delay of a program that has missed its aim.
+/// Delay of a program that has missed its target completion time.
 const MISSED_DELAY: Duration = Duration::from_secs(20);
-/// Head start of each step of priority.
+/// Head start per priority step.
 const PRIORITY_HEAD_START: Duration = Duration::from_secs(4);
-/// Worths are kept within this factor of one.
+/// Value weights are clamped to this factor around one.
 const WORTH_RANGE: f64 = 8.0;
 
-/// The rank of a call now, and when it will change by itself.
+/// The rank of a call, and the time at which it next changes.
 pub(crate) fn rank(
     config: &DispatcherConfig,
     strategy: Strategy,
--- a/crates/courseshed-dispatch/src/systems/parking.rs
+++ b/crates/courseshed-dispatch/src/systems/parking.rs
@@ -1,11 +1,13 @@
-//! Lets a call wait a moment for the engine that holds its prefix, although another engine has room.
+//! Delay scheduling: parks a call for a short time until the engine that caches its prefix has
+//! capacity, even if another engine has capacity now.
 //!
-//! When engines are full, the slot that frees next is seldom where the next call's prefix is, so without this
-//! almost every call would leave its prefix behind (delay scheduling, Zaharia et al., EuroSys 2010). The wait is
-//! no longer than computing the prefix anew would take, happens once a call, and only so many calls wait at one
-//! engine. The branch is charged when the call is parked, as if it had been assigned, so parking moves the shares by
-//! no more than corrections under way do. A parked call goes before others once its engine has room; else it
-//! returns to its place.
+//! When engines are full, the next slot to free up is rarely on the engine with the next call's
+//! prefix, so without parking most calls would lose their cached prefix (delay scheduling, Zaharia
+//! et al., EuroSys 2010). The wait is at most the time to recompute the prefix, a call is parked at
+//! most once, and the number of parked calls per engine is limited. The branch is charged when the
+//! call is parked, as for an assignment, so parking affects shares no more than outstanding
+//! corrections do. A parked call takes precedence once its engine has capacity; otherwise it
+//! returns to its queue.
 
 use std::time::Duration;
 
@@ -18,7 +20,7 @@
     units::Service,
 };
 
-/// Parks the next call if waiting for its prefix is worth it; false if it is not.
+/// Parks the next call if its cached prefix is worth the wait; returns whether it was parked.
 pub(crate) fn park(state: &mut State, now: Timestamp, queue: NodeIndex, call: CallId) -> bool {
     let Some((engine, wait)) = worth_waiting_for(state, now, call) else {
         return false;
@@ -41,7 +43,8 @@
     true
 }
 
-/// Gives parked calls to their engines where there is room now, and sends those back whose engine takes no work.
+/// Assigns parked calls to engines that now have capacity, and requeues those of engines that
+/// accept no calls.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     for engine in with_parked(state) {
         let takes_work = state
@@ -72,14 +75,14 @@
     }
 }
 
-/// The wait is over: the call goes back to its place and takes any engine.
+/// Returns a call to its queue after the maximum wait.
 pub(crate) fn send_back(state: &mut State, now: Timestamp, call: CallId) {
     if take_out(state, call) {
         queueing::return_to_queue(state, now, call);
     }
 }
 
-/// Sends all calls back that wait for an engine.
+/// Requeues all calls parked for an engine.
 pub(crate) fn abandon(state: &mut State, now: Timestamp, engine: &EngineId) {
     let parked = state.engines.get(engine).map(|entry| entry.parked.clone());
     for call in parked.unwrap_or_default() {
@@ -87,8 +90,8 @@
     }
 }
 
-/// Takes a call out of its engine's parked calls and undoes its charge; false if it is not parked. The caller
-/// gives it another phase or removes it.
+/// Unparks a call and refunds its charge; false if it is not parked. The caller must set a new
+/// phase or remove the call.
 pub(crate) fn take_out(state: &mut State, call: CallId) -> bool {
     let Some(entry) = state.calls.get(&call) else {
         return false;
@@ -107,7 +110,7 @@
     true
 }
 
-/// The engine that holds the call's prefix but has no room now, and how long to wait for it.
+/// The full engine that caches the call's prefix and the maximum wait for it, if parking pays off.
 fn worth_waiting_for(state: &State, now: Timestamp, call: CallId) -> Option<(EngineId, Duration)> {
     let entry = state.calls.get(&call)?;
     if !state.strategy.parks || entry.was_parked {
@@ -129,7 +132,7 @@
     (wait >= state.config.least_affinity_wait).then(|| (prefix.engine.clone(), wait))
 }
 
-/// How long an engine takes to compute so many tokens of a prompt.
+/// Time an engine needs to compute prompt tokens.
 fn recompute_time(state: &State, tokens: Tokens) -> Duration {
     let rate = state.config.prefill_tokens_per_second.max(1);
     Duration::from_secs_f64(tokens.0 as f64 / rate as f64)
--- a/crates/courseshed-dispatch/src/systems/pauses/decision.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/decision.rs
@@ -1,50 +1,49 @@
-//! What a paused program's prefix is worth, as a pure function.
+//! Decides what to do with a paused program's cached prefix, as a pure function.
 //!
-//! Losses are counted in units of computing the whole prefix once; both sides of every comparison grow with the
-//! prefix's tokens alike, so its size does not matter. Holding costs memory, at a price that is stated as the returns
-//! per second that pay for it. Losing the memory costs a return the whole prefix, or only the import of a copy that
-//! was moved out before; moving it out costs the link whether or not the program returns.
+//! Losses are measured in units of computing the whole prefix once. All terms scale with the
+//! prefix's tokens, so its size cancels out. Holding a lease costs memory, priced as the resumption
+//! rate per second at which it breaks even. Losing the memory costs recomputing the prefix on
+//! resumption, or importing it if it was exported before; exporting costs link bandwidth whether or
+//! not the program resumes.
 
-/// What was learned of a paused program and its engine.
+/// Estimates about a paused program and its engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct PauseOutlook {
-    /// Best chance of a return per second of holding, over several horizons.
+    /// Highest probability of resumption per second of holding, over several horizons.
     pub(crate) returns_per_second: f64,
-    /// Chance that the program returns at all, 0 to 1.
+    /// Probability that the program resumes at all, 0 to 1.
     pub(crate) returns: f64,
-    /// Returns per second that pay for the memory.
+    /// Resumption rate per second at which holding the memory breaks even.
     pub(crate) memory_price: f64,
-    /// Chance that a prefix without lease is evicted before it is used, 0 to 1.
+    /// Probability that an unleased prefix is evicted before it is used, 0 to 1.
     pub(crate) eviction: f64,
-    /// Cost of moving the prefix over the engine's link once, as a part of computing it.
+    /// Cost of moving the prefix over the engine's link once, as a fraction of computing it.
     pub(crate) transfer: f64,
-    /// Whether there is a copy outside the engine's memory.
     pub(crate) copy: CopyState,
 }
 
-/// Whether a prefix is kept outside its engine.
+/// Whether a copy of the prefix is stored outside its engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CopyState {
-    /// It can't be.
+    /// There is none and none can be made.
     Impossible,
-    /// Not yet.
+    /// There is none, but one can be made.
     Possible,
-    /// It is.
     Exists,
 }
 
-/// What is done with a paused program's prefix.
+/// What to do with a paused program's prefix.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PauseDecision {
-    /// Keep its lease.
+    /// Keep the lease.
     Hold,
-    /// Copy it out, then give its lease up.
+    /// Export the prefix, then release the lease.
     Export,
-    /// Give its lease up; it stays until the engine needs the memory.
+    /// Release the lease; the engine may evict the prefix.
     Drop,
 }
 
-/// Decides with the least expected loss.
+/// Chooses the action with the least expected loss.
 pub(crate) fn decide(outlook: &PauseOutlook) -> PauseDecision {
     let without_memory = loss_without_memory(outlook);
     let per_return = (without_memory / outlook.returns.max(f64::MIN_POSITIVE)).min(1.0);
@@ -57,8 +56,8 @@
     PauseDecision::Drop
 }
 
-/// Expected loss if the lease is given up and nothing else is done. What holding saves is counted as if the prefix
-/// were evicted then, since others give theirs up for the same reasons.
+/// Expected loss after releasing the lease. Assumes that the prefix is then evicted, since other
+/// programs release leases under the same conditions.
 fn loss_without_memory(outlook: &PauseOutlook) -> f64 {
     match outlook.copy {
         CopyState::Impossible => outlook.returns,
@@ -70,12 +69,12 @@
     }
 }
 
-/// Expected loss if the prefix is copied out now and imported at a return.
+/// Expected loss if the prefix is exported now and imported on resumption.
 fn loss_with_export(outlook: &PauseOutlook) -> f64 {
     outlook.transfer + outlook.returns * outlook.eviction * outlook.transfer
 }
 
-/// Expected loss if the prefix is left to be evicted.
+/// Expected loss if the prefix is left to eviction.
 fn loss_by_drop(outlook: &PauseOutlook) -> f64 {
     outlook.returns * outlook.eviction
 }
--- a/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
@@ -1,4 +1,4 @@
-//! The decision is monotone in what speaks for and against it, and never worse than doing nothing.
+//! The decision is monotonic in its inputs and never exports without expected benefit.
 
 use proptest::prelude::*;
 
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -1,10 +1,12 @@
-//! What happens to a program's prefix while its tools are at work.
+//! Lease management for the prefixes of programs that pause between calls, for example during tool
+//! use.
 //!
-//! The prefix is held by a lease while the chance that it is used soon is worth the memory, else copied out of the
-//! engine or left to be evicted ([`decision`]). The hazard of the learned pause distribution (the best chance of a
-//! return per second, over several horizons) is compared with a price per second that rises with the engine's memory
-//! pressure. A lease is kept on while the next call waits. Invariants: only known programs without a call on an
-//! engine have leases; what an engine's entry and a branch's account count as leased is the sum over programs.
+//! A prefix is leased while the probability of early reuse justifies the memory; otherwise it is
+//! exported or left to eviction ([`decision`]). The hazard rate of the estimated pause distribution
+//! (the highest probability of resumption per second over several horizons) is compared with a
+//! price per second that rises with the engine's memory pressure. A lease is kept while the
+//! program's next call is queued. Invariants: only known programs without a call on an engine have
+//! leases; the leased tokens of engines and branches are the sums over their programs.
 
 mod decision;
 
@@ -22,32 +24,32 @@
 
 use decision::{CopyState, PauseDecision, PauseOutlook, decide};
 
-/// Horizons over which a return is weighed.
+/// Horizons over which the probability of resumption is evaluated, in seconds.
 const HORIZONS_SECONDS: [u64; 7] = [1, 2, 5, 10, 30, 90, 300];
-/// Chance that a program goes on, before anything was learned.
+/// Probability of another call assumed before any sample is recorded.
 const ASSUMED_GOES_ON: f64 = 0.75;
-/// Returns per second expected of a pause before anything was learned.
+/// Resumption rate per second assumed before any sample is recorded.
 const ASSUMED_HAZARD: f64 = 0.05;
-/// Price of holding an idle engine's memory: one return in so many seconds pays.
+/// Price of holding memory on an idle engine: one resumption in 300 seconds breaks even.
 const IDLE_PRICE: f64 = 1.0 / 300.0;
-/// Price of holding a full engine's memory.
+/// Price of holding memory on a full engine.
 const FULL_PRICE: f64 = 1.0 / 3.0;
-/// Part of the memory in use up to which the idle price holds.
+/// Memory utilization up to which the idle price applies.
 const PRESSURE_FROM: f64 = 0.5;
 
-/// A program's call ended: its prefix is held or not, and the program is forgotten if it never returns.
+/// Starts a pause after a program's call has finished.
 pub(crate) fn begin(state: &mut State, now: Timestamp, program: ProgramId) {
     remember(state, now, program);
     review(state, now, program);
 }
 
-/// Keeps a program from being forgotten for a while.
+/// Restarts the timer after which an idle program is dropped.
 pub(crate) fn remember(state: &mut State, now: Timestamp, program: ProgramId) {
     let forget_at = now + state.config.forget_program;
     state.timers.set(forget_at, Timer::Forget(program));
 }
 
-/// Forgets a program that was silent for longer than any program may pause, unless a call of it is known.
+/// Drops a program that has been idle too long, unless one of its calls is known.
 pub(crate) fn forget(state: &mut State, now: Timestamp, program: ProgramId) {
     if state.calls.of_program(program).is_some() {
         remember(state, now, program);
@@ -56,7 +58,7 @@
     }
 }
 
-/// Decides again whether a paused program's prefix is held, and renews its lease.
+/// Decides again whether to keep a paused program's lease, and renews or releases it.
 pub(crate) fn review(state: &mut State, now: Timestamp, program: ProgramId) {
     if !state.strategy.holds_prefixes {
         return;
@@ -75,12 +77,12 @@
     }
 }
 
-/// The program makes a call again: the memory is the call's now.
+/// Ends a program's lease when its next call is placed.
 pub(crate) fn resume(state: &mut State, program: ProgramId) {
     unlease(state, program);
 }
 
-/// The program is over: its prefix is useless, and it is known no more.
+/// Removes a program that has ended and releases its prefix.
 pub(crate) fn end(state: &mut State, program: ProgramId) -> Option<ProgramEntry> {
     unlease(state, program);
     transfers::forget_copy(state, program);
@@ -99,7 +101,7 @@
     Some(entry)
 }
 
-/// Takes a program's lease out of the accounts; true if it had one.
+/// Removes a program's lease from the accounting; returns whether it had one.
 pub(crate) fn unlease(state: &mut State, program: ProgramId) -> bool {
     let Some(entry) = state.programs.get_mut(&program) else {
         return false;
@@ -121,7 +123,7 @@
     had_lease
 }
 
-/// Gives a program's lease up; the engine may evict the prefix when it needs the memory.
+/// Releases a program's lease, so that the engine may evict the prefix.
 pub(crate) fn release(state: &mut State, program: ProgramId) {
     if !unlease(state, program) {
         return;
@@ -137,7 +139,7 @@
     state.order(engine, EngineOrderBody::ReleaseLease { program });
 }
 
-/// The engine lists no lease of the program: it ran out or was broken. What it is worth is decided again.
+/// Handles a lease that the engine no longer lists because it expired or was broken.
 pub(crate) fn lease_lost(state: &mut State, now: Timestamp, program: ProgramId) {
     if unlease(state, program) {
         state.counters.leases_lost += 1;
@@ -145,7 +147,7 @@
     }
 }
 
-/// The engine holds fewer tokens by the program's lease than was asked for.
+/// Corrects a lease for which the engine lists fewer tokens than requested.
 pub(crate) fn lease_shrank(state: &mut State, program: ProgramId, held: Tokens) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
@@ -193,7 +195,8 @@
         .set(now + time_to_live / 2, Timer::Hold(program));
 }
 
-/// The engine that holds the prefix of a program that is paused, or whose next call waits while a lease holds.
+/// The engine with the prefix of a program that is paused, or whose next call is queued while a
+/// lease is held.
 fn held_on(state: &State, program: ProgramId) -> Option<EngineId> {
     let entry = state.programs.get(&program)?;
     let prefix = entry.prefix.as_ref()?;
@@ -258,8 +261,8 @@
     }
 }
 
-/// Returns per second expected of a program: the best chance over several horizons. A program whose next call
-/// waits already is sure to return.
+/// Expected resumptions per second: the highest rate over several horizons. A program whose next
+/// call is already queued is certain to resume.
 pub(crate) fn expected_use(state: &State, now: Timestamp, program: ProgramId) -> f64 {
     let Some(entry) = state.programs.get(&program) else {
         return 0.0;
@@ -279,8 +282,8 @@
     returns_at_all(state, now, entry) * hazard
 }
 
-/// The chance that a paused program makes another call: by its turns so far, less the longer it stays away
-/// compared with programs that came back.
+/// Probability that a paused program makes another call, given its calls so far and how long it has
+/// been paused.
 fn returns_at_all(state: &State, now: Timestamp, entry: &ProgramEntry) -> f64 {
     let goes_on = state
         .shapes
@@ -297,7 +300,7 @@
     returns_later / (returns_later + 1.0 - goes_on).max(f64::MIN_POSITIVE)
 }
 
-/// How much the engine's memory, or the branch's part of the pool's, is wanted: 0 to 1.
+/// Memory pressure on an engine, 0 to 1; 1 if the program's branch exceeds its cache share.
 fn pressure_on(state: &State, entry: &ProgramEntry, engine: &EngineEntry) -> f64 {
     let Some(size) = engine.memory_size() else {
         return 0.0;
@@ -314,7 +317,8 @@
     ((used - PRESSURE_FROM) / (1.0 - PRESSURE_FROM)).clamp(0.0, 1.0)
 }
 
-/// Whether the program's branch, or one above it, holds more of the pool's memory by leases than its cache share.
+/// Whether the program's branch or an ancestor has more leased memory than its cache share of the
+/// pool.
 fn over_cache_share(state: &State, entry: &ProgramEntry, engine_size: Tokens) -> bool {
     let memory = state.engines.len() as f64 * engine_size.0 as f64;
     let is_over = |path: BranchPath| {
--- a/crates/courseshed-dispatch/src/systems/queueing.rs
+++ b/crates/courseshed-dispatch/src/systems/queueing.rs
@@ -1,4 +1,5 @@
-//! Calls enter and leave the queues of their branches, always together with the branches' listings.
+//! Adds calls to and removes them from branch queues, keeping the listings of the branches up to
+//! date.
 
 use courseshed_types::{CallId, Timestamp};
 
@@ -8,7 +9,7 @@
     tables::{CallEntry, CallPhase, NodeIndex, Rank, Timer},
 };
 
-/// Puts a call of the call table into its queue.
+/// Queues a call and sets its timers.
 pub(crate) fn enqueue(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -24,7 +25,7 @@
     insert(state, queue, rank, call, false);
 }
 
-/// Takes a waiting call out of its queue; its rank and queue are returned.
+/// Removes a waiting call from its queue and returns the queue and the call's rank.
 pub(crate) fn dequeue(state: &mut State, call: CallId) -> Option<(NodeIndex, Rank)> {
     let entry = state.calls.get(&call)?;
     let CallPhase::Waiting(rank) = entry.phase else {
@@ -38,7 +39,7 @@
     Some((queue, rank))
 }
 
-/// Takes a call out of its queue, if it waits, and out of the call table.
+/// Removes a call from its queue or engine's parked calls, and from the call table.
 pub(crate) fn remove(state: &mut State, call: CallId) -> Option<CallEntry> {
     dequeue(state, call);
     parking::take_out(state, call);
@@ -48,25 +49,25 @@
     state.calls.remove(&call)
 }
 
-/// Cancels what falls due while a call waits.
+/// Cancels the timers of a queued call.
 pub(crate) fn stop_waiting(state: &mut State, call: CallId) {
     state.timers.cancel(Timer::GiveUp(call));
     state.timers.cancel(Timer::Rerank(call));
 }
 
-/// Puts a call that was taken out for a moment back at its place; its branch keeps its credit.
+/// Restores a call that was dequeued temporarily. The branch keeps its fair-share credit.
 pub(crate) fn put_back(state: &mut State, queue: NodeIndex, rank: Rank, call: CallId) {
     insert(state, queue, rank, call, true);
 }
 
-/// Ranks a waiting call anew.
+/// Recomputes the rank of a waiting call.
 pub(crate) fn rerank(state: &mut State, now: Timestamp, call: CallId) {
     if dequeue(state, call).is_some() {
         return_to_queue(state, now, call);
     }
 }
 
-/// Puts a call that is in no queue into its own, ranked anew; its branch keeps its credit.
+/// Requeues a call with a new rank. The branch keeps its fair-share credit.
 pub(crate) fn return_to_queue(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
--- a/crates/courseshed-dispatch/src/systems/reclaim.rs
+++ b/crates/courseshed-dispatch/src/systems/reclaim.rs
@@ -1,5 +1,5 @@
-//! Takes memory back from paused programs when a call that waits needs it: the leases least likely to be used
-//! soon go first.
+//! Reclaims memory leased by paused programs for queued calls, starting with the leases least
+//! likely to be used soon.
 
 use courseshed_types::{CallId, EngineId, ProgramId, Timestamp, Tokens};
 
@@ -8,7 +8,8 @@
     systems::{engine_choice, engine_choice::Closed, pauses},
 };
 
-/// Gives leases up on one engine until the call fits there; false if no engine has a slot and enough leased memory.
+/// Releases leases on one engine until the call fits; false if no engine has a slot and enough
+/// leased memory.
 pub(crate) fn make_room(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> bool {
     let Some((engine, missing)) = cheapest(state, now, call, closed) else {
         return false;
@@ -25,7 +26,7 @@
     true
 }
 
-/// The engine on which the fewest leased tokens have to be given up for the call, and how many.
+/// The engine on which the fewest leased tokens must be released for the call, and how many.
 fn cheapest(
     state: &State,
     now: Timestamp,
@@ -54,7 +55,7 @@
     best.map(|(missing, engine)| (engine, missing))
 }
 
-/// Paused programs with a lease on the engine, the least likely to come back soon first.
+/// Paused programs with a lease on the engine, least likely to resume first.
 fn least_useful(
     state: &State,
     now: Timestamp,
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -1,7 +1,8 @@
-//! Refuses calls before queues grow without bound, the branch that is furthest over its part first.
+//! Load shedding: rejects queued calls before queues grow without bound, from the branch that most
+//! exceeds its share.
 //!
-//! Only calls that still wait are refused, and a refusal is final here: nothing was sent anywhere. First calls of a
-//! program go before calls of programs under way, whose service so far would be lost.
+//! Only queued calls are shed, so a rejected call has not run. First calls of a program are shed
+//! before those of programs in progress, whose completed work would be wasted.
 
 use std::time::Duration;
 
@@ -13,25 +14,25 @@
     tables::{BranchNode, NodeIndex},
 };
 
-/// Shortest wait suggested to a caller.
+/// Minimum retry delay suggested to a caller.
 const LEAST_RETRY: Duration = Duration::from_secs(1);
-/// Longest wait suggested to a caller.
+/// Maximum retry delay suggested to a caller.
 const MOST_RETRY: Duration = Duration::from_secs(60);
 
-/// Sheds until the queues are within their bounds.
+/// Sheds calls until the queues are within their limits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     shed_hopeless(state, now);
     shed_overload(state, now);
 }
 
-/// Refuses the last calls of branches whose queue has become so long that they would only wait to be refused later.
+/// Sheds the last calls of queues so long that those calls would time out before being served.
 fn shed_hopeless(state: &mut State, now: Timestamp) {
     let grown = std::mem::take(&mut state.grown_queues);
     for queue in grown {
         while let Some(call) = hopeless_call(state, now, queue) {
             let error = CallError::not_run(
                 ErrorCode::Overloaded,
-                "the branch has more calls waiting than its part of the pool can serve in the time it allows",
+                "the branch's queue is too long for its share of the pool to serve the call before its queue deadline",
             );
             let wait = expected_wait(state, now, queue);
             state.counters.shed_hopeless += 1;
@@ -59,7 +60,7 @@
         };
         let error = CallError::not_run(
             ErrorCode::Overloaded,
-            "too many calls wait in this pool, and the branch has more than its part of them",
+            "the pool's queue is full and the branch has the longest queue relative to its share",
         );
         state.counters.shed_overload += 1;
         let wait = expected_wait(state, now, queue);
@@ -67,7 +68,7 @@
     }
 }
 
-/// Refuses a call that has waited as long as it may.
+/// Rejects a call whose queue deadline has passed.
 pub(crate) fn give_up(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
@@ -77,7 +78,7 @@
     }
     let error = CallError::not_run(
         ErrorCode::DeadlineExceeded,
-        "no engine was free within the time the branch lets a call wait",
+        "no engine had capacity before the call's queue deadline",
     );
     let wait = expected_wait(state, now, entry.queue);
     state.counters.shed_deadline += 1;
@@ -90,7 +91,7 @@
     }
 }
 
-/// The last call of the queue that is longest against its share.
+/// The last call of the queue that is longest relative to its share.
 fn worst_call(state: &State) -> Option<(NodeIndex, CallId)> {
     let least = state.config.min_branch_waiting;
     let over = |index: NodeIndex, waiting: usize| waiting as f64 / state.branches.entitled(index);
@@ -111,7 +112,7 @@
     Some(last.1)
 }
 
-/// When a caller may come back: once the queue as it is has been served.
+/// Suggested retry delay: the time to drain the current queue.
 fn expected_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Duration {
     let part = state.calls.waiting() as f64 / state.config.max_waiting.max(1) as f64;
     let assumed = MOST_RETRY.as_secs_f64() * part;
@@ -120,8 +121,8 @@
     Duration::from_secs_f64(seconds.clamp(least, most))
 }
 
-/// Seconds it takes to serve a queue at the pool's present rate and the branch's part of it among the branches
-/// with calls; none until the rate is known.
+/// Seconds to drain a queue at the pool's current rate and the branch's share among branches with
+/// queued calls; `None` until the rate is known.
 fn learned_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Option<f64> {
     let rate = state.drain_rate.per_second(now)?;
     let waiting = state.branches.node(queue).queue.len() as f64;
--- a/crates/courseshed-dispatch/src/systems/transfers.rs
+++ b/crates/courseshed-dispatch/src/systems/transfers.rs
@@ -1,7 +1,8 @@
-//! Prefixes copied out of engines, and brought back to the engine of a program's next call.
+//! Export of prefixes out of engines, and import into the engine of the program's next call.
 //!
-//! The copies lie with whoever executes the orders; the dispatcher counts their tokens and keeps them under
-//! `export_capacity`. A copy that is lost costs no more than computing the prefix: the engine counts what it found.
+//! Copies are stored by the executor of the orders; the dispatcher only tracks their size and keeps
+//! it within `export_capacity`. Losing a copy costs no more than recomputing the prefix, since
+//! engines report what they found cached.
 
 use std::time::Duration;
 
@@ -13,12 +14,12 @@
     tables::{ProgramEntry, Timer},
 };
 
-/// Time added to an export before its lease is given up.
+/// Margin added to the expected duration of an export before the lease is released.
 const EXPORT_MARGIN: Duration = Duration::from_millis(500);
-/// Fewer tokens than this are not worth an import.
+/// Prefixes with fewer tokens are not exported or imported.
 const LEAST_IMPORT: Tokens = Tokens(256);
 
-/// Orders a copy of a paused program's prefix; returns when it should be done.
+/// Orders the export of a paused program's prefix; returns when it should be complete.
 pub(crate) fn export(state: &mut State, now: Timestamp, program: ProgramId) -> Timestamp {
     let Some(entry) = state.programs.get_mut(&program) else {
         return now;
@@ -36,8 +37,8 @@
     now + transfer_time(state, tokens) + EXPORT_MARGIN
 }
 
-/// Orders a program's copy to an engine that holds less of it, for a call placed there; returns how long the call
-/// should wait for it.
+/// Orders the import of a program's exported prefix for a call placed on an engine that caches less
+/// of it; returns the expected duration.
 pub(crate) fn import(state: &mut State, call: CallId, engine: &EngineId) -> Option<Duration> {
     let program = call.program;
     let prompt = state.calls.get(&call)?.call.prompt_tokens;
@@ -55,7 +56,8 @@
     Some(transfer_time(state, missing))
 }
 
-/// Tokens of a program's prefix that need not be computed on an engine, an import counted at its cost.
+/// Tokens of a program's prefix that need not be computed on an engine, net of the cost of an
+/// import.
 pub(crate) fn spared_on(state: &State, program: &ProgramEntry, engine: &EngineId) -> Tokens {
     let cached = program.cached_on(engine);
     let brought = program.exported.saturating_sub(cached);
@@ -63,14 +65,15 @@
     cached.saturating_add(Tokens(gain))
 }
 
-/// A call found what was copied out, in its engine or by an import.
+/// Marks a program's exported tokens as reused.
 pub(crate) fn note_used(state: &mut State, program: ProgramId) {
     if let Some(entry) = state.programs.get_mut(&program) {
         entry.exported_unused = Tokens::ZERO;
     }
 }
 
-/// The program is over: its copy is useless, and abandoned if nothing ever used it.
+/// Drops the exported copy of a program that ended; tokens that were never reused count as
+/// abandoned.
 pub(crate) fn forget_copy(state: &mut State, program: ProgramId) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
@@ -82,19 +85,19 @@
     state.cache_account(&branch).waste.abandoned += unused.0;
 }
 
-/// Whether a copy of so many tokens may be made.
+/// Whether a prefix of this size may be exported.
 pub(crate) fn has_space(state: &State, tokens: Tokens) -> bool {
     tokens >= LEAST_IMPORT && state.exported.saturating_add(tokens) <= state.config.export_capacity
 }
 
-/// Cost of moving a prefix once, as a part of computing it.
+/// Cost of moving a prefix once, as a fraction of the cost of computing it.
 pub(crate) fn part_of_prefill(state: &State) -> f64 {
     let config = &state.config;
     let rates = config.prefill_tokens_per_second as f64 / config.transfer_tokens_per_second as f64;
     rates.min(1.0)
 }
 
-/// Sends the assignment of a call whose import should be done.
+/// Schedules a call's assignment for when its import should be complete.
 pub(crate) fn set_import_timer(state: &mut State, now: Timestamp, call: CallId, wait: Duration) {
     let resend = state.config.assignment_resend;
     state.timers.set(now + wait, Timer::Imported(call));
