--- a/crates/courseshed-dispatch/examples/dispatch_cost.rs
+++ b/crates/courseshed-dispatch/examples/dispatch_cost.rs
@@ -1,7 +1,10 @@
-//! Measures what a decision costs against waiting calls, engines and programs.
+//! Benchmarks the cost of a scheduling decision against the numbers of queued calls, engines and
+//! programs.
 //!
-//! One decision is: a call ends, its program calls again, and the dispatcher chooses the next call and its engine.
-//! Run it with `cargo run --release -p courseshed-dispatch --example dispatch_cost`.
+//! One decision consists of a call finishing, its program making the next call, and the dispatcher
+//! selecting a call and its engine.
+//!
+//! Run with `cargo run --release -p courseshed-dispatch --example dispatch_cost`.
 
 use std::{collections::VecDeque, sync::Arc, time::Duration};
 
@@ -15,14 +18,14 @@
     },
 };
 
-/// Branches in the tree: groups, and teams below each.
+/// Number of groups in the branch tree, and of teams per group.
 const GROUPS: u64 = 10;
 const TEAMS: u64 = 10;
-/// Decisions timed for each size.
+/// Decisions per round.
 const DECISIONS: u64 = 10_000;
-/// Rounds of which the fastest counts, since other processes share the machine.
+/// Number of rounds; the fastest one is reported to reduce noise from other processes.
 const ROUNDS: usize = 5;
-/// Bytes of a page, as `/proc/self/statm` counts.
+/// Page size in which `/proc/self/statm` counts.
 const PAGE_BYTES: u64 = 4_096;
 
 #[derive(Clone, Copy)]
@@ -42,15 +45,15 @@
     paused: VecDeque<u64>,
 }
 
-/// What one size costs.
+/// Cost of one configuration.
 struct Cost {
     micros: f64,
     bytes: f64,
 }
 
 fn main() {
-    if let Some(size) = size_asked_for() {
-        return measure_here(size);
+    if let Some(size) = size_from_args() {
+        return measure_in_process(size);
     }
     let base = Size {
         engines: 20,
@@ -58,9 +61,9 @@
         programs: 3_600,
         waiting: 2_000,
     };
-    println!("engines programs waiting | us/decision | KB");
+    println!("engines programs  queued | us/decision | KB");
     sweep(
-        "waiting calls, programs with them",
+        "queued calls (with 1,600 more programs than calls)",
         [500, 2_000, 8_000, 32_000],
         |waiting| Size {
             waiting,
@@ -68,7 +71,7 @@
             ..base
         },
     );
-    sweep("engines, of 1,280 slots together", [5, 20, 80], |engines| {
+    sweep("engines (1,280 slots in total)", [5, 20, 80], |engines| {
         Size {
             engines,
             batch: (20 * 64 / engines) as u32,
@@ -76,7 +79,7 @@
         }
     });
     sweep(
-        "programs, 500 calls waiting, 320 slots",
+        "programs (500 queued calls, 320 slots)",
         [900, 3_600, 14_400],
         |programs| Size {
             programs,
@@ -87,7 +90,7 @@
     );
 }
 
-/// Measures sizes and prints how the cost grows: cost = a * size ^ exponent, fitted to the logarithms.
+/// Measures several sizes and prints the exponent of growth, fitted in log-log space.
 fn sweep<const N: usize>(name: &str, values: [u64; N], size: impl Fn(u64) -> Size) {
     println!("{name}:");
     let costs = values.map(|value| measure(size(value)));
@@ -99,7 +102,7 @@
     println!("  time grows as size^{time:.2}, memory as size^{memory:.2} ({slope:.0} bytes each)");
 }
 
-/// The slope of a straight line through the logarithms, by least squares.
+/// Slope of the least-squares line through the logarithms.
 fn exponent(sizes: &[f64], costs: &[f64]) -> f64 {
     let count = sizes.len() as f64;
     let points = || {
@@ -115,9 +118,10 @@
     covariance / variance
 }
 
-/// Measures one size in a process of its own, so that no memory of another size is counted or reused.
+/// Measures one size in a separate process, so that memory of other sizes is neither counted nor
+/// reused.
 fn measure(size: Size) -> Cost {
-    let program = std::env::current_exe().expect("this program has a path");
+    let program = std::env::current_exe().expect("path of the current executable");
     let numbers = [
         size.engines,
         u64::from(size.batch),
@@ -127,10 +131,15 @@
     let output = std::process::Command::new(program)
         .args(numbers.map(|number| number.to_string()))
         .output()
-        .expect("this program can be started");
+        .expect("start the child process");
     let line = String::from_utf8_lossy(&output.stdout);
-    let mut figures = line.split_whitespace().map(|figure| figure.parse::<f64>());
-    let mut next = || figures.next().and_then(Result::ok).expect("two figures");
+    let mut values = line.split_whitespace().map(|value| value.parse::<f64>());
+    let mut next = || {
+        values
+            .next()
+            .and_then(Result::ok)
+            .expect("two numbers in the child's output")
+    };
     let cost = Cost {
         micros: next(),
         bytes: next(),
@@ -146,20 +155,20 @@
     cost
 }
 
-fn measure_here(size: Size) {
+fn measure_in_process(size: Size) {
     let before = resident_bytes();
     let mut bench = Bench::new(size);
     bench.fill();
     let micros = (0..ROUNDS)
         .map(|_| bench.time_decision())
         .fold(f64::INFINITY, f64::min);
-    // Only now is every program known.
+    // Every program is known only after the rounds.
     let bytes = resident_bytes().saturating_sub(before);
     println!("{micros} {bytes}");
 }
 
-/// The size that the arguments name: engines, batch, programs, waiting calls.
-fn size_asked_for() -> Option<Size> {
+/// Parses engines, batch, programs and queued calls from the arguments.
+fn size_from_args() -> Option<Size> {
     let numbers: Vec<u64> = std::env::args()
         .skip(1)
         .filter_map(|number| number.parse().ok())
@@ -205,7 +214,7 @@
         }
     }
 
-    /// Fills the engines and the queue.
+    /// Fills all engine slots and the queue.
     fn fill(&mut self) {
         let slots = self.size.engines * u64::from(self.size.batch);
         for _ in 0..slots + self.size.waiting {
@@ -224,11 +233,11 @@
         }
     }
 
-    /// Microseconds of processor time a decision takes, over one round.
+    /// CPU time per decision in microseconds, over one round.
     fn time_decision(&mut self) -> f64 {
-        let start = processor_nanos();
+        let start = thread_cpu_nanos();
         self.run(DECISIONS);
-        (processor_nanos() - start) as f64 / 1e3 / DECISIONS as f64
+        (thread_cpu_nanos() - start) as f64 / 1e3 / DECISIONS as f64
     }
 
     fn call_next(&mut self) {
@@ -365,8 +374,8 @@
     }
 }
 
-/// Time this thread has run, from the first figure of `/proc/thread-self/schedstat`.
-fn processor_nanos() -> u64 {
+/// CPU time of this thread: the first field of `/proc/thread-self/schedstat`.
+fn thread_cpu_nanos() -> u64 {
     let stat = std::fs::read_to_string("/proc/thread-self/schedstat").unwrap_or_default();
     let nanos = stat.split_whitespace().next().unwrap_or("0");
     nanos.parse().unwrap_or(0)
--- a/crates/courseshed-dispatch/src/invariants/messages.rs
+++ b/crates/courseshed-dispatch/src/invariants/messages.rs
@@ -1,4 +1,4 @@
-//! Arbitrary messages of shards, engines and control, and a dispatcher that takes them.
+//! Generators of arbitrary messages, and a dispatcher to apply them to.
 
 use courseshed_types::{
     Attempt, BranchPolicy, CallId, Incarnation, NodeId, PolicySnapshot, ProgramId, RequestId,
@@ -12,7 +12,7 @@
 
 use crate::{Dispatcher, DispatcherConfig, PolicyKind};
 
-/// Something that arrives; small numbers make collisions likely.
+/// An input to the dispatcher. Ids are drawn from small ranges so that they often collide.
 #[derive(Debug, Clone)]
 pub(super) enum Input {
     Enqueue(u64, u64, u32, usize),
@@ -29,7 +29,7 @@
     Evicted(usize, u64, u64),
     Listing(usize, u64),
     Policy(usize),
-    Pass(u64),
+    AdvanceMillis(u64),
 }
 
 const BRANCHES: [&str; 4] = ["/", "a", "a/x", "b"];
@@ -53,7 +53,7 @@
         1 => (0usize..3, 0u64..6, 0u64..600).prop_map(|(e, p, t)| Input::Evicted(e, p, t)),
         1 => (0usize..3, 0u64..6).prop_map(|(e, p)| Input::Listing(e, p)),
         1 => (0usize..4).prop_map(Input::Policy),
-        4 => (1u64..8_000).prop_map(Input::Pass),
+        4 => (1u64..8_000).prop_map(Input::AdvanceMillis),
     ];
     prop::collection::vec(input, 1..200)
 }
@@ -184,7 +184,7 @@
                 let policy = policy(self.version, branches).into();
                 self.dispatcher.on_policy(now, policy);
             }
-            Input::Pass(millis) => self.now = Timestamp(now.0 + millis * 1_000),
+            Input::AdvanceMillis(millis) => self.now = Timestamp(now.0 + millis * 1_000),
             _ => {}
         }
     }
@@ -237,7 +237,8 @@
     }
 }
 
-/// A directory in which each engine is absent, live or down, by the digits of a number in base three.
+/// An engine directory in which each engine is absent, live, down or leaving, as derived from
+/// `choice`.
 pub(super) fn directory(choice: u8) -> Vec<EngineMember> {
     let mut rest = choice;
     let mut members = Vec::new();
--- a/crates/courseshed-dispatch/src/invariants/mod.rs
+++ b/crates/courseshed-dispatch/src/invariants/mod.rs
@@ -1,4 +1,5 @@
-//! Checks that the tables agree with each other, and a test that drives them with arbitrary messages.
+//! Consistency checks between the tables, and a property test that applies them after arbitrary
+//! messages.
 
 mod messages;
 
@@ -14,7 +15,7 @@
 
 use messages::{ENGINES, Run, directory, inputs};
 
-/// Panics where two tables disagree.
+/// Panics if two tables are inconsistent.
 fn check(state: &State) {
     check_queues(state);
     check_listings(state);
@@ -131,7 +132,7 @@
     }
 }
 
-/// Timers are bounded by the entities they are of.
+/// Checks that the number of timers is bounded by the other tables.
 fn check_timers(state: &State) {
     let entities = state.calls.len() * 3 + state.programs.len() * 2;
     let few = ENGINES.len() + 2;
--- a/crates/courseshed-dispatch/tests/affinity.rs
+++ b/crates/courseshed-dispatch/tests/affinity.rs
@@ -1,4 +1,4 @@
-//! A call waits a moment for the engine that holds its prefix, and what bounds that.
+//! Parking of calls for the engine that caches their prefix, and its limits.
 
 mod common;
 
@@ -19,8 +19,8 @@
     turn
 }
 
-/// Two engines with one slot each; program 1 has its prefix on `e1`, where program 2 runs now. Gives the call
-/// running there.
+/// Two engines with one slot each. Program 1 has its prefix cached on `e1`, which is now busy with
+/// the returned call of another program.
 fn prefix_on_a_full_engine() -> (Driver, CallId) {
     let mut driver = Driver::with_engines(&["e1", "e2"], 1);
     let first = turn(1, 1, &driver);
@@ -51,12 +51,16 @@
     driver.enqueue(next.clone());
     assert!(
         driver.tick().is_empty(),
-        "e2 is free, but the prefix is on e1"
+        "e2 is free, but e1 caches the prefix"
     );
     let reason = driver.dispatcher.explain(driver.now, next.call);
-    assert!(reason.expect("it waits").reason.contains("e1"));
+    assert!(reason.expect("the call is queued").reason.contains("e1"));
     driver.enqueue(turn(4, 1, &driver));
-    assert_eq!(driver.tick()[0].engine, "e2".into(), "others take the slot");
+    assert_eq!(
+        driver.tick()[0].engine,
+        "e2".into(),
+        "another call takes the free slot"
+    );
     driver.enqueue(turn(5, 1, &driver));
     driver.finished(kept, usage(PROMPT, 0, 50));
     let assigned = driver.tick();
@@ -92,7 +96,7 @@
     driver.tick();
     assert!(served(&driver) > before);
     driver.say(DispatchRequestBody::Withdraw(next.call));
-    assert_eq!(served(&driver), before, "it comes back");
+    assert_eq!(served(&driver), before, "the charge is refunded");
 }
 
 #[test]
@@ -149,7 +153,7 @@
 const SLOTS: u32 = 2;
 const PROGRAMS: u64 = 24;
 
-/// Keeps two branches backlogged with programs that call again and again.
+/// Keeps two branches backlogged with programs that make one call after another.
 struct Turns {
     driver: Driver,
     sequences: BTreeMap<u64, u64>,
@@ -201,7 +205,7 @@
         }
     }
 
-    /// Ends a call; counts its service at its full prompt, or at what its engine's cache left of it.
+    /// Finishes a running call and counts the service it took, given its engine's cache.
     fn end(&mut self, choice: usize) {
         let (ended, engine) = self.running.swap_remove(choice % self.running.len());
         let number = ended.call.program.number;
@@ -224,8 +228,8 @@
     ) {
         let mut turns = Turns::new(shares);
         let slots = (ENGINES.len() as u32 * SLOTS) as f64;
-        // Of each branch: one call, the calls under way, which count when they end and may be charged a whole
-        // prompt too much, and those parked, one an engine.
+        // Per branch: one call, the running calls, which count when they finish and may be
+        // overcharged by a whole prompt, and one parked call per engine.
         let uncertain = (1.0 + 2.0 * slots + ENGINES.len() as f64) * (PROMPT + 4) as f64;
         let bound = uncertain * (1.0 / shares[0] + 1.0 / shares[1]);
         for (choice, millis) in steps {
--- a/crates/courseshed-dispatch/tests/baselines.rs
+++ b/crates/courseshed-dispatch/tests/baselines.rs
@@ -1,4 +1,4 @@
-//! Each baseline does what its source describes, and no more.
+//! Each baseline policy schedules as its reference describes.
 
 mod common;
 
@@ -65,7 +65,7 @@
     assert!(driver.orders.is_empty(), "no leases, no exports");
 }
 
-/// A program's first call ran on `e1`, which has `busy` other calls since.
+/// A program's first call ran on `e1`, which has since received `busy` other calls.
 fn with_prefix_on_busy_engine(busy: u64) -> Driver {
     let mut driver = driver(PolicyKind::PrefixAffinity, &["e1", "e2"], 128);
     let first = turn(1, 1, "a", 20_000, &driver);
@@ -103,7 +103,8 @@
     assert_eq!(driver.tick()[0].engine, "e2".into());
 }
 
-/// Keeps branches `a` and `b` backlogged with second calls whose prompt `a` finds cached, and gives the calls served.
+/// Keeps branches `a` and `b` backlogged; calls of `a` find 900 of their 1,000 prompt tokens
+/// cached. Returns the number of calls served per branch.
 fn serve_cached_and_uncached(kind: PolicyKind) -> BTreeMap<String, usize> {
     let mut driver = driver(kind, &["e1"], 1);
     let mut waiting: BTreeMap<CallId, WaitingCall> = BTreeMap::new();
@@ -116,7 +117,7 @@
     }
     for _ in 0..120 {
         let assigned = driver.tick().remove(0);
-        let ended = waiting.remove(&assigned.call).expect("it waited");
+        let ended = waiting.remove(&assigned.call).expect("the call was queued");
         let cached = if ended.branch == branch("a") { 900 } else { 0 };
         driver.finished(ended.call, usage(1_000, cached, 10));
         *served.entry(ended.branch.to_string()).or_default() += 1;
--- a/crates/courseshed-dispatch/tests/calls.rs
+++ b/crates/courseshed-dispatch/tests/calls.rs
@@ -1,4 +1,5 @@
-//! A call's way through the dispatcher, with messages twice, late, or of a replaced leader.
+//! Life cycle of a call in the dispatcher, with duplicated and delayed messages and replaced
+//! leaders.
 
 mod common;
 
@@ -155,11 +156,11 @@
     let mut driver = Driver::new(PolicyKind::Courseshed, DispatcherConfig::default());
     driver.list_engines(&["e1"]);
     driver.enqueue(call(1, 1, "/", driver.now));
-    assert!(driver.tick().is_empty(), "what runs there is not known");
+    assert!(driver.tick().is_empty(), "the engine's load is unknown");
     driver.report("e1", common::load(9, 8));
     assert!(
         driver.tick().is_empty(),
-        "it is full of calls not announced"
+        "the engine is full of calls that were not announced"
     );
     driver.report("e1", common::load(3, 8));
     assert_eq!(driver.tick().len(), 1);
@@ -186,7 +187,10 @@
     let mut report = common::load(0, 4);
     report.leaving = true;
     driver.report("e1", report);
-    assert!(driver.tick().is_empty(), "the engine itself says so");
+    assert!(
+        driver.tick().is_empty(),
+        "the engine reports that it is leaving"
+    );
 }
 
 #[test]
@@ -201,7 +205,7 @@
     let members = [leaving, common::member(other)];
     driver.dispatcher.on_engines(driver.now, &members);
     let again = driver.pass(Duration::from_secs(9));
-    assert!(!again.is_empty(), "it is not forgotten");
+    assert!(!again.is_empty(), "the call is assigned again");
     let engines: Vec<&str> = again
         .iter()
         .map(|assigned| assigned.engine.as_str())
@@ -227,7 +231,7 @@
     let demand = driver
         .dispatcher
         .demand(driver.now)
-        .expect("enough was seen");
+        .expect("enough samples");
     assert!((900.0..1_100.0).contains(&demand.prefill), "{demand:?}");
     assert!((130.0..210.0).contains(&demand.decode), "{demand:?}");
 }
--- a/crates/courseshed-dispatch/tests/common/mod.rs
+++ b/crates/courseshed-dispatch/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small driver for tests: one pool, a few engines, calls made by hand, virtual time.
+//! Test driver: a dispatcher for one pool, with hand-made calls and virtual time.
 #![allow(dead_code)]
 
 use std::{sync::Arc, time::Duration};
@@ -16,7 +16,7 @@
 pub const SHARD: ShardId = ShardId(1);
 pub const LEADER: NodeId = NodeId(7);
 
-/// An assignment as the shard hears it.
+/// An assignment received by the shard.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Assigned {
     pub call: CallId,
@@ -58,7 +58,7 @@
     }
 }
 
-/// A report of an engine with a batch of `max_batch` and 4,096 blocks of 16 tokens.
+/// A load report with batch size `max_batch` and 4,096 blocks of 16 tokens.
 pub fn load(running: u32, max_batch: u32) -> EngineLoad {
     EngineLoad {
         running,
@@ -72,7 +72,7 @@
     }
 }
 
-/// A settings tree from (path, share) pairs, the root added.
+/// A policy from (path, share) pairs; the root is added.
 pub fn policy(shares: &[(&str, f64)]) -> PolicySnapshot {
     let mut snapshot = PolicySnapshot {
         version: SettingsVersion(1),
@@ -98,7 +98,7 @@
     }
 }
 
-/// The call `sequence` of a program, first attempt, 500 prompt tokens.
+/// Call `sequence` of a program: first attempt, 500 prompt tokens.
 pub fn call(number: u64, sequence: u64, path: &str, now: Timestamp) -> WaitingCall {
     WaitingCall {
         call: CallId {
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A driver whose engines have reported a batch of `max_batch`, with no calls sent ahead.
+    /// A driver whose engines have reported batch size `max_batch`, with `send_ahead` disabled.
     pub fn with_engines(engines: &[&str], max_batch: u32) -> Driver {
         let config = DispatcherConfig {
             send_ahead: 0.0,
@@ -212,7 +212,7 @@
         });
     }
 
-    /// Runs the systems and returns the assignments made, which are also gathered.
+    /// Ticks the dispatcher, records its outputs, and returns the new assignments.
     pub fn tick(&mut self) -> Vec<Assigned> {
         self.dispatcher.tick(self.now);
         let mut assigned = Vec::new();
@@ -229,7 +229,7 @@
         assigned
     }
 
-    /// Lets time pass, ticking at every wakeup on the way.
+    /// Advances time, ticking at every wakeup, and returns the new assignments.
     pub fn pass(&mut self, time: Duration) -> Vec<Assigned> {
         let end = self.now + time;
         let mut assigned = Vec::new();
--- a/crates/courseshed-dispatch/tests/engines.rs
+++ b/crates/courseshed-dispatch/tests/engines.rs
@@ -1,4 +1,4 @@
-//! Limits of engines: trial after an ejection, slow start, urgent calls, memory.
+//! Engine limits: probing after an ejection, slow start, urgent calls, memory.
 
 mod common;
 
@@ -10,7 +10,7 @@
     dispatch::{EngineOrderBody, WaitingCall},
 };
 
-/// Calls of new programs, enqueued.
+/// Enqueues the first calls of new programs.
 fn enqueue_many(driver: &mut Driver, programs: std::ops::Range<u64>) -> Vec<WaitingCall> {
     let calls: Vec<WaitingCall> = programs
         .map(|number| call(number, 1, "/", driver.now))
@@ -38,16 +38,19 @@
         driver.failed(call.call, true);
     }
     enqueue_many(&mut driver, 10..30);
-    assert!(driver.tick().is_empty(), "it is ejected");
+    assert!(driver.tick().is_empty(), "the engine is ejected");
     let tried = driver.pass(Duration::from_secs(8));
     assert_eq!(
         running(&driver),
         1,
-        "long after the ejection it has proved nothing"
+        "only one call runs until a probe succeeds"
     );
     finish(&mut driver, tried[0].call);
     driver.tick();
-    assert!(running(&driver) < 3, "slow start begins with the success");
+    assert!(
+        running(&driver) < 3,
+        "slow start begins after the probe succeeds"
+    );
     driver.pass(Duration::from_secs(6));
     assert_eq!(running(&driver), 10);
 }
@@ -80,7 +83,11 @@
     driver.enqueue(first.clone());
     driver.enqueue(second);
     let assigned = driver.tick();
-    assert_eq!(assigned.len(), 1, "a tenth of the batch may be overtaken");
+    assert_eq!(
+        assigned.len(),
+        1,
+        "urgent calls may exceed the batch by a tenth"
+    );
     assert_eq!((assigned[0].call, assigned[0].priority), (first.call, 5));
 }
 
@@ -95,7 +102,7 @@
     assert_eq!(driver.tick().len(), 4);
 }
 
-/// An engine of 65,536 tokens, of which calls may fill 62,259.
+/// An engine with 65,536 KV tokens, 62,259 of which may be used.
 fn with_memory(max_batch: u32) -> Driver {
     Driver::with_engines(&["e1"], max_batch)
 }
@@ -134,7 +141,10 @@
             .iter()
             .any(|assigned| assigned.call == wanted.call)
     );
-    assert!(driver.assigned.len() > 8, "smaller ones pass it at first");
+    assert!(
+        driver.assigned.len() > 8,
+        "smaller calls bypass it at first"
+    );
 }
 
 #[test]
@@ -153,7 +163,7 @@
     let wanted = large(2, 30_000, &driver);
     driver.enqueue(wanted.clone());
     let assigned = driver.tick();
-    assert_eq!(assigned.len(), 1, "the lease gives way at once");
+    assert_eq!(assigned.len(), 1, "the lease is reclaimed immediately");
     let released = driver.orders.iter().any(|order| {
         let program = paused.call.program;
         order.body == EngineOrderBody::ReleaseLease { program }
--- a/crates/courseshed-dispatch/tests/fairness.rs
+++ b/crates/courseshed-dispatch/tests/fairness.rs
@@ -1,4 +1,4 @@
-//! How far backlogged branches may drift from their shares, and that nothing starves.
+//! Bounds on the deviation of backlogged branches from their shares, and absence of starvation.
 
 mod common;
 
@@ -8,13 +8,13 @@
 use courseshed_types::{BranchPolicy, CallId, PolicySnapshot, Tokens, dispatch::WaitingCall};
 use proptest::prelude::*;
 
-/// Keeps every branch backlogged on one engine and ends calls in an order given by numbers.
+/// Keeps every branch backlogged on one engine and finishes calls in a given order.
 struct Saturation {
     driver: Driver,
     next_program: u64,
     waiting: BTreeMap<CallId, WaitingCall>,
     running: Vec<WaitingCall>,
-    /// Service that ended calls took in truth, by branch.
+    /// Actual service of finished calls by branch.
     ended: BTreeMap<String, f64>,
 }
 
@@ -44,18 +44,22 @@
         self.driver.enqueue(added);
     }
 
-    /// Assigns what fits; the calls assigned are returned.
+    /// Runs one tick and returns the assigned calls.
     fn assign(&mut self) -> Vec<WaitingCall> {
         let assigned = self.driver.tick();
         let calls: Vec<WaitingCall> = assigned
             .iter()
-            .map(|assigned| self.waiting.remove(&assigned.call).expect("it waited"))
+            .map(|assigned| {
+                self.waiting
+                    .remove(&assigned.call)
+                    .expect("the call was queued")
+            })
             .collect();
         self.running.extend(calls.iter().cloned());
         calls
     }
 
-    /// Ends one running call; `counted` gives the tokens of its prompt that were not cached.
+    /// Finishes a running call; `counted` returns its uncached prompt tokens.
     fn end(&mut self, choice: usize, counted: impl Fn(&WaitingCall) -> u64) {
         let ended = self.running.swap_remove(choice % self.running.len());
         let uncached = counted(&ended);
@@ -65,7 +69,7 @@
             .finished(ended.call, usage(prompt, prompt - uncached, 1));
     }
 
-    /// Service by branch: what ended calls took and what running ones are charged.
+    /// Service by branch: actual service of finished calls plus charges of running ones.
     fn spent(&self) -> BTreeMap<String, f64> {
         let mut spent = self.ended.clone();
         for call in &self.running {
@@ -90,17 +94,18 @@
     }
 }
 
-/// Units of a call with so many uncached prompt tokens and one token of output.
+/// Service units of a call with one output token.
 fn service_of(uncached: u64) -> f64 {
     (uncached + 4) as f64
 }
 
-/// The whole prompt has to be filled.
+/// Counts the whole prompt as uncached.
 fn all(call: &WaitingCall) -> u64 {
     call.prompt_tokens.0
 }
 
-/// Service per weight of siblings must lie within what one call and the corrections under way explain.
+/// Checks that the normalized service of siblings differs by at most one call and the outstanding
+/// corrections.
 fn assert_siblings_within(
     spent: &BTreeMap<String, f64>,
     siblings: &[(&str, f64)],
@@ -148,7 +153,7 @@
         run.end(*choice, counted);
         let spent = run.spent();
         let largest = service_of(LARGEST_PROMPT);
-        // The queues of the root's and of b's own calls have weight one beside the children and stay idle.
+        // The root's and `b`'s own queues have weight one among their siblings but stay idle.
         let siblings = [("a", shares[0]), ("b", shares[1])];
         assert_siblings_within(&spent, &siblings, largest, corrections)?;
         let siblings = [("b/x", shares[2]), ("b/y", shares[3])];
@@ -278,7 +283,7 @@
         call.priority = -5;
         call.give_up_at = call.accepted_at + Duration::from_secs(600);
     });
-    let long = *run.waiting.keys().next().expect("it waits");
+    let long = *run.waiting.keys().next().expect("the call is queued");
     let mut waited = 0;
     while run.waiting.contains_key(&long) {
         run.driver.now += Duration::from_millis(500);
@@ -286,9 +291,9 @@
         run.end(0, all);
         run.assign();
         waited += 1;
-        assert!(waited < 100, "overtaken for 50 s");
+        assert!(waited < 100, "the call was overtaken for 50 s");
     }
-    assert!(waited > 10, "it gives way at first");
+    assert!(waited > 10, "the call is overtaken at first");
 }
 
 #[test]
@@ -307,12 +312,12 @@
     run.assign();
     run.add("a", 1_000, |_| {});
     run.driver.tick();
-    let waits = *run.waiting.keys().next().expect("it waits");
+    let waits = *run.waiting.keys().next().expect("the call is queued");
     let explained = run.driver.dispatcher.explain(run.driver.now, waits);
-    let explained = explained.expect("it waits");
+    let explained = explained.expect("the call is queued");
     assert!(explained.attained_share < 0.02, "{explained:?}");
     assert!(
         (explained.entitled_share - 0.5).abs() < 0.01,
-        "the root has no calls of its own"
+        "the root's own queue is idle and does not count"
     );
 }
--- a/crates/courseshed-dispatch/tests/pauses.rs
+++ b/crates/courseshed-dispatch/tests/pauses.rs
@@ -1,4 +1,4 @@
-//! Prefixes of paused programs: held, copied out or let go, and who pays for what is lost.
+//! Prefixes of paused programs: leased, exported or released, and accounting of wasted tokens.
 
 mod common;
 
@@ -13,7 +13,7 @@
     },
 };
 
-/// One engine of 65,536 tokens and the branches `a` and `b` of equal share.
+/// Engines with 65,536 KV tokens each, and branches `a` and `b` with equal shares.
 fn driver(engines: &[&str]) -> Driver {
     let mut driver = Driver::with_engines(engines, 8);
     driver.set_policy(policy(&[("a", 1.0), ("b", 1.0)]));
@@ -26,7 +26,7 @@
     turn
 }
 
-/// Runs one call of a program to its end, at once.
+/// Runs one call of a program to completion.
 fn run_turn(driver: &mut Driver, (number, sequence, path, prompt): (u64, u64, &str, u64)) {
     let turn = turn(number, sequence, path, prompt, driver);
     driver.enqueue(turn.clone());
@@ -35,7 +35,7 @@
     driver.tick();
 }
 
-/// Teaches that programs of branch `a` come back after so long; all of them do.
+/// Records pauses of length `pause` for 40 programs of branch `a`, all of which resume.
 fn teach_pauses(driver: &mut Driver, pause: Duration) {
     for number in 1_000..1_040 {
         run_turn(driver, (number, 1, "a", 100));
@@ -80,7 +80,7 @@
     assert_eq!(
         stats_of(&driver, "/").leased_tokens,
         30_010,
-        "also above it"
+        "leased tokens count for ancestors"
     );
 }
 
@@ -93,7 +93,7 @@
     assert_eq!(stats_of(&driver, "a").leased_tokens, 0);
 }
 
-/// Fills most of the engine's memory with calls of branch `b`.
+/// Fills most of an engine's memory with calls of branch `b`.
 fn press(driver: &mut Driver) {
     for number in 500..504 {
         let prompt = 7_000;
@@ -121,10 +121,17 @@
     driver
         .dispatcher
         .on_cache_event(driver.now, &"e1".into(), gone);
-    assert_eq!(stats_of(&driver, "b").waste.evicted, 0, "a copy exists");
+    assert_eq!(
+        stats_of(&driver, "b").waste.evicted,
+        0,
+        "an exported copy exists"
+    );
     let next = turn(1, 2, "a", 30_020, &driver);
     driver.enqueue(next);
-    assert!(driver.tick().is_empty(), "the import comes first");
+    assert!(
+        driver.tick().is_empty(),
+        "the call is assigned only after the import"
+    );
     assert!(has_order(&driver, |body| *body == EngineOrderBody::Import { program }));
     assert_eq!(driver.pass(Duration::from_millis(300)).len(), 1);
     assert_eq!(
@@ -154,7 +161,7 @@
     let stats = stats_of(&driver, "a");
     assert_eq!(
         stats.cached_tokens, 10_010,
-        "it may be cached without a lease"
+        "the prefix may be cached without a lease"
     );
     assert_eq!(stats.waste.total(), 0);
     assert_eq!(counters(&driver).leases_lost, 1);
@@ -192,7 +199,7 @@
     assert_eq!(
         stats_of(&driver, "a/x").leased_tokens,
         0,
-        "a tenth is 6,553"
+        "the cache share is 6,553 tokens"
     );
     assert_eq!(stats_of(&driver, "b").leased_tokens, 10_010);
 }
@@ -277,7 +284,7 @@
     run_turn(&mut driver, (1, 1, "a", 4_000));
     driver.pass(Duration::from_secs(8));
     let program = common::program(1);
-    assert!(renewals(&driver, program) > 0, "the prefix is held");
+    assert!(renewals(&driver, program) > 0, "the prefix is leased");
     assert!(driver.checked.contains(&program), "{:?}", driver.checked);
     driver.say(DispatchRequestBody::ProgramEnded(program));
     driver.pass(Duration::from_secs(2));
--- a/crates/courseshed-dispatch/tests/placement.rs
+++ b/crates/courseshed-dispatch/tests/placement.rs
@@ -1,4 +1,4 @@
-//! Placement follows demand without dropping last copies, without oscillating, and within its allowance.
+//! Placement keeps last copies, does not oscillate, and respects its limits.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -49,7 +49,7 @@
     }
 }
 
-/// Makes the moves, as an executor would.
+/// Applies planned moves to the holdings, as an executor would.
 fn execute(input: &mut PlacementInput, moves: &[PlacementMove]) {
     for made in moves {
         let holding = input.engines.get_mut(&made.engine).expect("a known engine");
@@ -61,7 +61,7 @@
                 holding.models.insert(model.clone(), Vec::new());
             }
             PlacementChange::DropModel(model) => {
-                holding.models.remove(model).expect("it was held");
+                holding.models.remove(model).expect("the model is loaded");
             }
             PlacementChange::LoadAdapter(model, adapter) => {
                 let held = holding.models.get_mut(model).expect("its model is held");
@@ -288,7 +288,10 @@
         .get_mut(&ModelName::from("m1"))
         .expect("present");
     of_m1.prefill_part = 0.5;
-    assert!(plan(&settings, &input).is_empty(), "2 of 5 is near enough");
+    assert!(
+        plan(&settings, &input).is_empty(),
+        "2 of 5 is within the tolerance"
+    );
 }
 
 #[test]
@@ -297,7 +300,9 @@
         engine: "e1".into(),
         change: PlacementChange::LoadModel("m1".into()),
     };
-    let order = made.into_order(7).expect("it is carried");
+    let order = made
+        .into_order(7)
+        .expect("model loads become engine orders");
     let model = ModelName::from("m1");
     assert_eq!(order.body, EngineOrderBody::LoadModel { model, fence: 7 });
 }
--- a/crates/courseshed-dispatch/tests/shedding.rs
+++ b/crates/courseshed-dispatch/tests/shedding.rs
@@ -1,4 +1,4 @@
-//! Queues stay bounded, by branch, and callers hear at once and when to come back.
+//! Load shedding keeps queues bounded per branch and returns retry delays.
 
 mod common;
 
@@ -8,7 +8,7 @@
 use courseshed_dispatch::{DispatcherConfig, PolicyKind};
 use courseshed_types::{CallId, ErrorCode, Verdict};
 
-/// A driver with one engine of four slots and the branches `a` and `b` of equal share.
+/// One engine with four slots, and branches `a` and `b` with equal shares.
 fn driver(config: DispatcherConfig) -> Driver {
     let mut driver = Driver::new(PolicyKind::Courseshed, config);
     driver.list_engines(&["e1"]);
@@ -17,7 +17,7 @@
     driver
 }
 
-/// Serves one call a second for so many seconds, from a queue of branch `a`.
+/// Serves one call of branch `a` per second.
 fn serve(driver: &mut Driver, seconds: u64) {
     for number in 0..seconds {
         let served = call(10_000 + number, 1, "a", driver.now);
@@ -71,10 +71,10 @@
     let waiting = driver.dispatcher.stats(driver.now).waiting;
     assert!(
         (60..=120).contains(&waiting),
-        "about one call a second for 60 s and a half: {waiting}"
+        "one call per second for 1.5 times the 60 s deadline: {waiting}"
     );
     let (_, error) = &driver.shed[0];
-    let retry = error.retry_after.expect("a time to come back");
+    let retry = error.retry_after.expect("a retry delay");
     assert!((50..=60).contains(&retry.as_secs()), "{retry:?}");
 }
 
