--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -18,8 +18,8 @@
 use crate::{
     baselines::{Sharing, Strategy},
     config::{DispatcherConfig, PolicyKind},
+    estimates::{DecayingRate, WorkloadEstimates},
     explain,
-    learn::{FadingRate, Shapes},
     output::{DispatchOutput, DispatcherStats, PoolDemand, ShardLeader},
     state::{DemandMeter, State},
     systems::{
@@ -31,7 +31,7 @@
 };
 
 /// Time constant of the queue drain rate.
-const DRAIN_FADE: Duration = Duration::from_secs(20);
+const DRAIN_TIME_CONSTANT: Duration = Duration::from_secs(20);
 
 /// Schedules the calls of one pool onto its engines. Performs no I/O and is deterministic: the same
 /// inputs at the same times give the same outputs.
@@ -72,8 +72,8 @@
             engines: EngineTable::default(),
             shards: ShardTable::default(),
             timers,
-            shapes: Shapes::default(),
-            drain_rate: FadingRate::new(now, DRAIN_FADE),
+            workload: WorkloadEstimates::default(),
+            drain_rate: DecayingRate::new(now, DRAIN_TIME_CONSTANT),
             demand: DemandMeter::new(now),
             caches: BTreeMap::new(),
             entitlements: BTreeMap::new(),
--- a/crates/courseshed-dispatch/src/learn/histogram.rs
+++ b/crates/courseshed-dispatch/src/estimates/histogram.rs
@@ -4,11 +4,11 @@
 //! Invariants: `total` is the sum of the counts, and `sum` is the sum of the counts times their
 //! bucket midpoints.
 
-const BUCKETS_PER_DOUBLING: f64 = 4.0;
+const BUCKETS_PER_OCTAVE: f64 = 4.0;
 /// Number of buckets; covers values up to 2^30.
 const BUCKETS: usize = 121;
 /// Weight at which all counts are halved, so that recent samples dominate.
-const FADE_AT: f64 = 512.0;
+const HALVING_WEIGHT: f64 = 512.0;
 
 /// A histogram of positive values, such as milliseconds or tokens.
 #[derive(Debug, Clone)]
@@ -31,11 +31,11 @@
 impl LogHistogram {
     /// Adds a sample, halving older ones once the total weight is large enough.
     pub(crate) fn record(&mut self, value: u64) {
-        let bucket = bucket_of(value as f64);
+        let bucket = bucket_index(value as f64);
         self.counts[bucket] += 1.0;
         self.total += 1.0;
-        self.sum += middle_of(bucket);
-        if self.total >= FADE_AT {
+        self.sum += bucket_midpoint(bucket);
+        if self.total >= HALVING_WEIGHT {
             self.counts.iter_mut().for_each(|count| *count *= 0.5);
             self.total *= 0.5;
             self.sum *= 0.5;
@@ -54,7 +54,7 @@
 
     /// Weight of the samples above a value.
     pub(crate) fn weight_above(&self, value: f64) -> f64 {
-        let first = bucket_of(value) + 1;
+        let first = bucket_index(value) + 1;
         self.counts[first.min(BUCKETS)..]
             .iter()
             .map(|count| f64::from(*count))
@@ -63,22 +63,22 @@
 
     /// Probability that a duration which has lasted `elapsed` ends within another `horizon`; `None`
     /// if no sample lasted that long.
-    pub(crate) fn ends_within(&self, elapsed: f64, horizon: f64) -> Option<f64> {
-        let alive = self.weight_above(elapsed);
-        if alive < 0.5 {
+    pub(crate) fn end_probability(&self, elapsed: f64, horizon: f64) -> Option<f64> {
+        let surviving = self.weight_above(elapsed);
+        if surviving < 0.5 {
             return None;
         }
-        Some(1.0 - self.weight_above(elapsed + horizon) / alive)
+        Some(1.0 - self.weight_above(elapsed + horizon) / surviving)
     }
 }
 
-fn bucket_of(value: f64) -> usize {
-    let bucket = ((value + 1.0).log2() * BUCKETS_PER_DOUBLING) as usize;
+fn bucket_index(value: f64) -> usize {
+    let bucket = ((value + 1.0).log2() * BUCKETS_PER_OCTAVE) as usize;
     bucket.min(BUCKETS - 1)
 }
 
-fn middle_of(bucket: usize) -> f64 {
-    ((bucket as f64 + 0.5) / BUCKETS_PER_DOUBLING).exp2() - 1.0
+fn bucket_midpoint(bucket: usize) -> f64 {
+    ((bucket as f64 + 0.5) / BUCKETS_PER_OCTAVE).exp2() - 1.0
 }
 
 #[cfg(test)]
@@ -96,22 +96,24 @@
     }
 
     #[test]
-    fn old_samples_fade() {
+    fn old_samples_decay() {
         let mut histogram = LogHistogram::default();
         (0..2_000).for_each(|_| histogram.record(1_000));
         (0..2_000).for_each(|_| histogram.record(10));
         assert!(histogram.mean().expect("samples") < 20.0);
-        assert!(histogram.weight() <= FADE_AT);
+        assert!(histogram.weight() <= HALVING_WEIGHT);
     }
 
     #[test]
-    fn a_long_wait_changes_the_odds() {
+    fn the_end_probability_is_conditional_on_elapsed_time() {
         let mut histogram = LogHistogram::default();
         (0..90).for_each(|_| histogram.record(100));
         (0..10).for_each(|_| histogram.record(100_000));
-        let fresh = histogram.ends_within(0.0, 1_000.0).expect("samples");
-        let waited = histogram.ends_within(2_000.0, 1_000.0).expect("samples");
+        let fresh = histogram.end_probability(0.0, 1_000.0).expect("samples");
+        let waited = histogram
+            .end_probability(2_000.0, 1_000.0)
+            .expect("samples");
         assert!(fresh > 0.85 && waited < 0.05);
-        assert_eq!(histogram.ends_within(1e9, 1.0), None);
+        assert_eq!(histogram.end_probability(1e9, 1.0), None);
     }
 }
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -84,8 +84,8 @@
 /// The branch's fraction of recently charged service.
 fn attained(tree: &BranchTable, index: NodeIndex) -> f64 {
     let pool = tree.node(NodeIndex::ROOT);
-    let all = pool.recent.at(pool.served);
-    let own = tree.node(index).recent.at(pool.served);
+    let all = pool.recent.value_at(pool.served);
+    let own = tree.node(index).recent.value_at(pool.served);
     (own / all.max(1.0)).clamp(0.0, 1.0)
 }
 
--- a/crates/courseshed-dispatch/src/lib.rs
+++ b/crates/courseshed-dispatch/src/lib.rs
@@ -8,7 +8,7 @@
 //! - `tables`: branches, calls, engines, programs, shards, timers;
 //! - `systems`: message handling, fair sharing, ordering within a branch, engine selection,
 //!   assignment, pauses and leases, prefix cache tracking, engine health, load shedding, timers;
-//! - `learn`: distributions estimated online;
+//! - `estimates`: rates and distributions estimated online;
 //! - `baselines`: the components of each policy kind;
 //! - [`placement`]: which models, adapters and roles each engine holds.
 //!
@@ -19,10 +19,10 @@
 mod baselines;
 mod config;
 mod dispatcher;
+mod estimates;
 mod explain;
 #[cfg(test)]
 mod invariants;
-mod learn;
 mod output;
 pub mod placement;
 mod state;
--- a/crates/courseshed-dispatch/src/state.rs
+++ b/crates/courseshed-dispatch/src/state.rs
@@ -17,7 +17,7 @@
 use crate::{
     baselines::Strategy,
     config::DispatcherConfig,
-    learn::{FadingRate, Shapes},
+    estimates::{DecayingRate, WorkloadEstimates},
     output::{DispatchCounters, DispatchOutput, Waste},
     systems::liveness::LivenessChecks,
     tables::{
@@ -28,18 +28,18 @@
 /// Requested service, split into prefill and decode.
 #[derive(Debug)]
 pub(crate) struct DemandMeter {
-    pub(crate) prefill: FadingRate,
-    pub(crate) decode: FadingRate,
+    pub(crate) prefill: DecayingRate,
+    pub(crate) decode: DecayingRate,
 }
 
 impl DemandMeter {
     /// Time constant of the demand estimate. Minutes long, because placement moves model weights.
-    const FADE: Duration = Duration::from_secs(120);
+    const TIME_CONSTANT: Duration = Duration::from_secs(120);
 
     pub(crate) fn new(now: Timestamp) -> DemandMeter {
         DemandMeter {
-            prefill: FadingRate::new(now, DemandMeter::FADE),
-            decode: FadingRate::new(now, DemandMeter::FADE),
+            prefill: DecayingRate::new(now, DemandMeter::TIME_CONSTANT),
+            decode: DecayingRate::new(now, DemandMeter::TIME_CONSTANT),
         }
     }
 }
@@ -69,9 +69,9 @@
     pub(crate) engines: EngineTable,
     pub(crate) shards: ShardTable,
     pub(crate) timers: TimerTable,
-    pub(crate) shapes: Shapes,
+    pub(crate) workload: WorkloadEstimates,
     /// Rate at which calls leave the queues.
-    pub(crate) drain_rate: FadingRate,
+    pub(crate) drain_rate: DecayingRate,
     pub(crate) demand: DemandMeter,
     pub(crate) caches: BTreeMap<BranchPath, CacheAccount>,
     /// Fraction of the pool each branch is entitled to by hierarchical shares, whichever policy
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -165,13 +165,17 @@
         return Service(1);
     };
     let call = &entry.call;
-    let output = state.shapes.expected_output(&call.branch, call.max_output);
+    let output = state
+        .workload
+        .expected_output(&call.branch, call.max_output);
     match state.strategy.charging {
         Charging::Service => {
             let uncached = call.prompt_tokens.saturating_sub(cached);
-            Service::weigh(&state.config, uncached, output)
+            Service::weighted(&state.config, uncached, output)
+        }
+        Charging::VirtualTokens => {
+            Service::weighted(&state.config, call.prompt_tokens, Tokens::ZERO)
         }
-        Charging::VirtualTokens => Service::weigh(&state.config, call.prompt_tokens, Tokens::ZERO),
     }
 }
 
--- a/crates/courseshed-dispatch/src/systems/engine_choice.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_choice.rs
@@ -178,7 +178,9 @@
 }
 
 fn memory_of(state: &State, call: &WaitingCall) -> Tokens {
-    let output = state.shapes.expected_output(&call.branch, call.max_output);
+    let output = state
+        .workload
+        .expected_output(&call.branch, call.max_output);
     call.prompt_tokens.saturating_add(output)
 }
 
--- a/crates/courseshed-dispatch/src/systems/fairness.rs
+++ b/crates/courseshed-dispatch/src/systems/fairness.rs
@@ -87,9 +87,9 @@
 fn advance(tree: &mut BranchTable, index: NodeIndex, units: i128) {
     let pool_served = tree.node(NodeIndex::ROOT).served;
     let node = tree.node_mut(index);
-    node.start += VirtualTime::of_service(units, node.weight);
+    node.start += VirtualTime::from_service(units, node.weight);
     if node.floor > 0.0 {
-        node.floor_start += VirtualTime::of_service(units, node.floor);
+        node.floor_start += VirtualTime::from_service(units, node.floor);
     }
     node.recent.add(units, pool_served);
     node.served = (i128::from(node.served) + units).max(0) as u64;
@@ -140,7 +140,7 @@
     let urgency = own.or(below)?;
     let overtakes = i128::from(urgency) * i128::from(warp);
     Some(Listing {
-        key: node.start - VirtualTime::of_service(overtakes, 1.0),
+        key: node.start - VirtualTime::from_service(overtakes, 1.0),
         urgency,
         floor: (node.floor > 0.0).then_some(node.floor_start),
     })
@@ -153,5 +153,5 @@
 
 fn pool_clock(tree: &BranchTable) -> VirtualTime {
     let served = tree.node(NodeIndex::ROOT).served;
-    VirtualTime::of_service(i128::from(served), 1.0)
+    VirtualTime::from_service(i128::from(served), 1.0)
 }
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/intake.rs
@@ -79,7 +79,9 @@
     let prefix = program.and_then(|program| program.prefix.as_ref());
     let cached = prefix.map_or(Tokens::ZERO, |prefix| prefix.tokens);
     let uncached = call.prompt_tokens.saturating_sub(cached);
-    let output = state.shapes.expected_output(&call.branch, call.max_output);
+    let output = state
+        .workload
+        .expected_output(&call.branch, call.max_output);
     let prefill = uncached.0.saturating_mul(state.config.prefill_weight);
     let decode = output.0.saturating_mul(state.config.decode_weight);
     state.demand.prefill.record(now, prefill as f64);
@@ -122,7 +124,7 @@
     let counted = counted_service(state, &usage);
     settle(state, &entry, Some(counted));
     state
-        .shapes
+        .workload
         .record_output(entry.branch(), usage.completion_tokens);
     let Some(engine) = entry.placement().map(|placement| placement.engine.clone()) else {
         return;
@@ -143,7 +145,7 @@
         Charging::VirtualTokens => Tokens::ZERO,
     };
     let uncached = usage.prompt_tokens.saturating_sub(cached);
-    Service::weigh(&state.config, uncached, usage.completion_tokens)
+    Service::weighted(&state.config, uncached, usage.completion_tokens)
 }
 
 fn failed(state: &mut State, now: Timestamp, request: RequestId, engine_fault: bool) {
@@ -159,7 +161,7 @@
 
 fn program_ended(state: &mut State, program: ProgramId) {
     if let Some(entry) = pauses::end(state, program) {
-        state.shapes.record_turns(&entry.branch, entry.turns);
+        state.workload.record_turns(&entry.branch, entry.turns);
     }
 }
 
@@ -283,7 +285,7 @@
     };
     if let Some(since) = entry.paused_since.take() {
         let pause = now.since(since);
-        state.shapes.record_pause(&call.branch, pause);
+        state.workload.record_pause(&call.branch, pause);
     }
 }
 
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -275,7 +275,9 @@
         .iter()
         .map(|seconds| {
             let horizon = Duration::from_secs(*seconds);
-            let returns = state.shapes.returns_within(&entry.branch, elapsed, horizon);
+            let returns = state
+                .workload
+                .resume_probability_within(&entry.branch, elapsed, horizon);
             returns.map_or(ASSUMED_HAZARD, |chance| chance / *seconds as f64)
         })
         .fold(0.0, f64::max);
@@ -286,15 +288,15 @@
 /// been paused.
 fn returns_at_all(state: &State, now: Timestamp, entry: &ProgramEntry) -> f64 {
     let goes_on = state
-        .shapes
-        .goes_on_after(&entry.branch, entry.turns)
+        .workload
+        .continue_probability(&entry.branch, entry.turns)
         .unwrap_or(ASSUMED_GOES_ON);
     let elapsed = entry
         .paused_since
         .map_or(Duration::ZERO, |since| now.since(since));
     let still_away = state
-        .shapes
-        .lasts_longer(&entry.branch, elapsed)
+        .workload
+        .pause_survival(&entry.branch, elapsed)
         .unwrap_or(1.0);
     let returns_later = goes_on * still_away;
     returns_later / (returns_later + 1.0 - goes_on).max(f64::MIN_POSITIVE)
--- a/crates/courseshed-dispatch/src/tables/branches.rs
+++ b/crates/courseshed-dispatch/src/tables/branches.rs
@@ -11,7 +11,7 @@
 use crate::{
     baselines::Sharing,
     tables::Rank,
-    units::{RecentService, VirtualTime},
+    units::{DecayedService, VirtualTime},
 };
 
 /// Index of a node in the table.
@@ -58,7 +58,7 @@
     /// Service charged so far, corrected by reported usage.
     pub(crate) served: u64,
     /// Charged service with exponential decay.
-    pub(crate) recent: RecentService,
+    pub(crate) recent: DecayedService,
     pub(crate) listing: Option<Listing>,
     /// Children with queued calls in their subtree, by start tag.
     pub(crate) active: BTreeSet<(VirtualTime, NodeIndex)>,
@@ -84,7 +84,7 @@
             virtual_now: VirtualTime::default(),
             floor_start: VirtualTime::default(),
             served: 0,
-            recent: RecentService::default(),
+            recent: DecayedService::default(),
             listing: None,
             active: BTreeSet::new(),
             urgent: BTreeSet::new(),
--- a/crates/courseshed-dispatch/src/units.rs
+++ b/crates/courseshed-dispatch/src/units.rs
@@ -11,7 +11,7 @@
 use crate::config::DispatcherConfig;
 
 /// Virtual time per service unit at weight one.
-const RESOLUTION: f64 = 65_536.0;
+const VIRTUAL_TIME_PER_UNIT: f64 = 65_536.0;
 
 /// Service consumed by an attempt, in units.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
@@ -19,40 +19,40 @@
 
 impl Service {
     /// Weighted sum of uncached prompt tokens and generated tokens.
-    pub fn weigh(config: &DispatcherConfig, uncached: Tokens, generated: Tokens) -> Service {
+    pub fn weighted(config: &DispatcherConfig, uncached: Tokens, generated: Tokens) -> Service {
         let prefill = uncached.0.saturating_mul(config.prefill_weight);
         let decode = generated.0.saturating_mul(config.decode_weight);
         Service(prefill.saturating_add(decode).max(1))
     }
 
     /// Service of an attempt, from the token usage reported by its engine.
-    pub fn of_usage(config: &DispatcherConfig, usage: &Usage) -> Service {
+    pub fn from_usage(config: &DispatcherConfig, usage: &Usage) -> Service {
         let uncached = usage.prompt_tokens.saturating_sub(usage.cached_tokens);
-        Service::weigh(config, uncached, usage.completion_tokens)
+        Service::weighted(config, uncached, usage.completion_tokens)
     }
 }
 
 /// Service that decays as the pool serves more.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub(crate) struct RecentService {
+pub(crate) struct DecayedService {
     units: f64,
     /// Service of the whole pool when `units` was last updated.
     pool_served: u64,
 }
 
-impl RecentService {
+impl DecayedService {
     /// Pool service over which a contribution decays to 1/e.
-    const FADE: f64 = 20_000_000.0;
+    const DECAY_CONSTANT: f64 = 20_000_000.0;
 
     pub(crate) fn add(&mut self, units: i128, pool_served: u64) {
-        self.units = self.at(pool_served) + units as f64;
+        self.units = self.value_at(pool_served) + units as f64;
         self.pool_served = self.pool_served.max(pool_served);
     }
 
     /// The decayed value once the pool has served `pool_served` units.
-    pub(crate) fn at(&self, pool_served: u64) -> f64 {
+    pub(crate) fn value_at(&self, pool_served: u64) -> f64 {
         let since = pool_served.saturating_sub(self.pool_served) as f64;
-        self.units * (-since / RecentService::FADE).exp()
+        self.units * (-since / DecayedService::DECAY_CONSTANT).exp()
     }
 }
 
@@ -62,8 +62,8 @@
 
 impl VirtualTime {
     /// Virtual time that `units` of service take at a weight between 0 and 1.
-    pub(crate) fn of_service(units: i128, weight: f64) -> VirtualTime {
-        VirtualTime((units as f64 * RESOLUTION / weight) as i128)
+    pub(crate) fn from_service(units: i128, weight: f64) -> VirtualTime {
+        VirtualTime((units as f64 * VIRTUAL_TIME_PER_UNIT / weight) as i128)
     }
 }
 
