--- a/crates/courseshed-dispatch/examples/dispatch_cost.rs
+++ b/crates/courseshed-dispatch/examples/dispatch_cost.rs
@@ -193,7 +193,7 @@
         };
         let config = DispatcherConfig {
             max_waiting: 100_000,
-            send_ahead: 0.0,
+            slot_overcommit: 0.0,
             ..DispatcherConfig::default()
         };
         let kind = PolicyKind::Courseshed;
--- a/crates/courseshed-dispatch/src/config.rs
+++ b/crates/courseshed-dispatch/src/config.rs
@@ -30,15 +30,15 @@
     /// Service, in units, by which one priority step may run ahead of fair shares.
     pub warp_per_priority: u64,
     /// Priorities are clamped to plus or minus this many steps.
-    pub priority_steps: i32,
+    pub max_priority_steps: i32,
     /// Batch size assumed for an engine that has not reported its load.
-    pub assumed_batch: u32,
+    pub default_batch: u32,
     /// Calls sent beyond an engine's free slots, as a fraction of its batch size, to keep the
     /// engine from idling.
-    pub send_ahead: f64,
+    pub slot_overcommit: f64,
     /// Urgent calls sent to an engine whose slots are taken by less urgent calls, as a fraction of
     /// its batch size. The engine schedules the urgent calls first.
-    pub urgent_ahead: f64,
+    pub urgent_slot_overcommit: f64,
     /// Fraction of an engine's KV memory that in-flight calls and leases may occupy.
     pub memory_limit: f64,
     /// Selection cost of a fully loaded engine relative to an idle one, in service units.
@@ -47,11 +47,11 @@
     pub zone_penalty: u64,
     /// Maximum time a call is parked for the engine that caches its prefix while another engine has
     /// capacity.
-    pub affinity_wait: Duration,
+    pub max_parking_wait: Duration,
     /// A call is not parked if the expected wait is shorter than this.
-    pub least_affinity_wait: Duration,
+    pub min_parking_wait: Duration,
     /// Maximum number of calls parked for one engine, as a fraction of its batch size.
-    pub affinity_ahead: f64,
+    pub parked_fraction: f64,
     /// Assumed prefill throughput of an engine, in prompt tokens per second.
     pub prefill_tokens_per_second: u64,
     /// Assumed bandwidth of an engine's link for prefix export and import, in tokens per second.
@@ -63,12 +63,12 @@
     pub max_waiting: usize,
     /// Queue length of a branch up to which its calls are not shed before their deadline.
     pub min_branch_waiting: usize,
-    /// How long smaller calls may bypass a call that fits on no engine before an engine is reserved
-    /// for it.
-    pub pass_over: Duration,
+    /// Maximum time that smaller calls may bypass a call that fits on no engine before an engine is
+    /// reserved for it.
+    pub max_bypass: Duration,
     /// The last calls of a queue are shed if their expected wait exceeds their remaining queue time
     /// by this factor.
-    pub hopeless_wait: f64,
+    pub max_wait_ratio: f64,
     /// Interval after which an unconfirmed assignment is resent.
     pub assignment_resend: Duration,
     /// How long a new dispatcher waits for shards to announce their calls.
@@ -88,9 +88,9 @@
     /// Maximum time the prefix of a paused program is leased.
     pub max_hold: Duration,
     /// Age after which a load report is ignored.
-    pub stale_report: Duration,
+    pub max_report_age: Duration,
     /// Time without messages after which a paused program is dropped.
-    pub forget_program: Duration,
+    pub program_idle_timeout: Duration,
 }
 
 impl Default for DispatcherConfig {
@@ -99,23 +99,23 @@
             prefill_weight: 1,
             decode_weight: 4,
             warp_per_priority: 20_000,
-            priority_steps: 10,
-            assumed_batch: 8,
-            send_ahead: 0.1,
-            urgent_ahead: 0.1,
+            max_priority_steps: 10,
+            default_batch: 8,
+            slot_overcommit: 0.1,
+            urgent_slot_overcommit: 0.1,
             memory_limit: 0.95,
             load_penalty: 2_000,
             zone_penalty: 100,
-            affinity_wait: Duration::from_secs(2),
-            least_affinity_wait: Duration::from_millis(20),
-            affinity_ahead: 0.25,
+            max_parking_wait: Duration::from_secs(2),
+            min_parking_wait: Duration::from_millis(20),
+            parked_fraction: 0.25,
             prefill_tokens_per_second: 16_000,
             transfer_tokens_per_second: 120_000,
             export_capacity: Tokens(8_000_000),
             max_waiting: 4_000,
             min_branch_waiting: 32,
-            pass_over: Duration::from_secs(1),
-            hopeless_wait: 1.5,
+            max_bypass: Duration::from_secs(1),
+            max_wait_ratio: 1.5,
             assignment_resend: Duration::from_secs(2),
             announce_grace: Duration::from_millis(500),
             ejection: Duration::from_secs(1),
@@ -125,8 +125,8 @@
             slow_start: Duration::from_secs(5),
             lease: Duration::from_secs(10),
             max_hold: Duration::from_secs(300),
-            stale_report: Duration::from_secs(10),
-            forget_program: Duration::from_secs(3_600),
+            max_report_age: Duration::from_secs(10),
+            program_idle_timeout: Duration::from_secs(3_600),
         }
     }
 }
--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -16,12 +16,12 @@
 };
 
 use crate::{
-    baselines::{Sharing, Strategy},
     config::{DispatcherConfig, PolicyKind},
     estimates::{DecayingRate, WorkloadEstimates},
     explain,
     output::{DispatchOutput, DispatcherStats, PoolDemand, ShardLeader},
     state::{DemandMeter, State},
+    strategy::{Sharing, Strategy},
     systems::{
         assignment, cache_view, engine_health, expiry, intake, liveness, queueing, shedding,
     },
@@ -54,7 +54,7 @@
         now: Timestamp,
     ) -> Dispatcher {
         let policy = Arc::new(PolicySnapshot::default());
-        let strategy = Strategy::of(policy_kind);
+        let strategy = Strategy::for_kind(policy_kind);
         let branches = BranchTable::build(&policy, strategy.sharing, None);
         let grace_until = now + config.announce_grace;
         let mut timers = TimerTable::default();
--- a/crates/courseshed-dispatch/src/lib.rs
+++ b/crates/courseshed-dispatch/src/lib.rs
@@ -9,14 +9,13 @@
 //! - `systems`: message handling, fair sharing, ordering within a branch, engine selection,
 //!   assignment, pauses and leases, prefix cache tracking, engine health, load shedding, timers;
 //! - `estimates`: rates and distributions estimated online;
-//! - `baselines`: the components of each policy kind;
+//! - `strategy`: the components of each policy kind;
 //! - [`placement`]: which models, adapters and roles each engine holds.
 //!
 //! Correctness does not depend on the dispatcher: an assignment takes effect only once the shard
 //! has committed it, and the dispatcher rejects a call only while it has not assigned it to an
 //! engine.
 
-mod baselines;
 mod config;
 mod dispatcher;
 mod estimates;
@@ -26,6 +25,7 @@
 mod output;
 pub mod placement;
 mod state;
+mod strategy;
 mod systems;
 mod tables;
 mod units;
--- a/crates/courseshed-dispatch/src/output.rs
+++ b/crates/courseshed-dispatch/src/output.rs
@@ -142,7 +142,7 @@
     /// Leases released to make room for a queued call.
     pub leases_reclaimed: u64,
     /// Calls shed because their expected wait exceeded their remaining queue time.
-    pub shed_hopeless: u64,
+    pub shed_unservable: u64,
     /// Calls dropped because their shard no longer announces them.
     pub forgotten_calls: u64,
 }
--- a/crates/courseshed-dispatch/src/state.rs
+++ b/crates/courseshed-dispatch/src/state.rs
@@ -15,10 +15,10 @@
 };
 
 use crate::{
-    baselines::Strategy,
     config::DispatcherConfig,
     estimates::{DecayingRate, WorkloadEstimates},
     output::{DispatchCounters, DispatchOutput, Waste},
+    strategy::Strategy,
     systems::liveness::LivenessChecks,
     tables::{
         BranchTable, CallTable, EngineTable, NodeIndex, ProgramTable, ShardTable, TimerTable,
--- a/crates/courseshed-dispatch/src/baselines/mod.rs
+++ b/crates/courseshed-dispatch/src/strategy.rs
@@ -33,7 +33,7 @@
 
 /// How calls of one branch are ordered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Ordering {
+pub(crate) enum CallOrdering {
     /// By acceptance time.
     FirstCome,
     /// By the program's attained service, target completion time, value weight and age.
@@ -42,14 +42,14 @@
 
 /// How an engine is selected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Choice {
+pub(crate) enum EngineSelection {
     /// The least loaded engine.
     LeastLoad,
     /// The engine that caches the prefix if it has capacity and loads are balanced, else the least
     /// loaded.
     Affinity,
     /// The engine with the lowest cost in uncached prefill, load and zone distance.
-    Balanced,
+    LowestCost,
 }
 
 /// What a call's branch is charged.
@@ -65,46 +65,46 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Strategy {
     pub(crate) sharing: Sharing,
-    pub(crate) ordering: Ordering,
-    pub(crate) choice: Choice,
+    pub(crate) ordering: CallOrdering,
+    pub(crate) engine_selection: EngineSelection,
     pub(crate) charging: Charging,
     /// Whether a call may be parked for the engine that caches its prefix.
-    pub(crate) parks: bool,
+    pub(crate) parks_calls: bool,
     /// Whether prefixes of paused programs are leased.
-    pub(crate) holds_prefixes: bool,
+    pub(crate) leases_prefixes: bool,
     /// Whether calls with a higher priority go first.
-    pub(crate) honours_priority: bool,
+    pub(crate) honors_priority: bool,
 }
 
 impl Strategy {
-    pub(crate) fn of(kind: PolicyKind) -> Strategy {
+    pub(crate) fn for_kind(kind: PolicyKind) -> Strategy {
         let baseline = Strategy {
             sharing: Sharing::Single,
-            ordering: Ordering::FirstCome,
-            choice: Choice::LeastLoad,
+            ordering: CallOrdering::FirstCome,
+            engine_selection: EngineSelection::LeastLoad,
             charging: Charging::Service,
-            parks: false,
-            holds_prefixes: false,
-            honours_priority: false,
+            parks_calls: false,
+            leases_prefixes: false,
+            honors_priority: false,
         };
         match kind {
             PolicyKind::Courseshed => Strategy {
                 sharing: Sharing::Tree,
-                ordering: Ordering::Program,
-                choice: Choice::Balanced,
+                ordering: CallOrdering::Program,
+                engine_selection: EngineSelection::LowestCost,
                 charging: Charging::Service,
-                parks: true,
-                holds_prefixes: true,
-                honours_priority: true,
+                parks_calls: true,
+                leases_prefixes: true,
+                honors_priority: true,
             },
             PolicyKind::FirstComeLeastLoad => baseline,
             PolicyKind::PrefixAffinity => Strategy {
-                choice: Choice::Affinity,
+                engine_selection: EngineSelection::Affinity,
                 ..baseline
             },
             PolicyKind::PerCallFair => Strategy {
                 sharing: Sharing::Flat,
-                choice: Choice::Affinity,
+                engine_selection: EngineSelection::Affinity,
                 charging: Charging::VirtualTokens,
                 ..baseline
             },
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -11,8 +11,8 @@
 };
 
 use crate::{
-    baselines::Charging,
     state::State,
+    strategy::Charging,
     systems::{
         engine_choice, engine_choice::Closed, fairness, intake, parking, pauses, queueing, reclaim,
         transfers,
@@ -78,9 +78,9 @@
     state.drain_rate.record(now, 1.0);
 }
 
-/// Records that a call is being bypassed; after `pass_over`, closes an engine to other calls.
+/// Records that a call is being bypassed; after `max_bypass`, closes an engine to other calls.
 fn keep_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
-    let patience = state.config.pass_over;
+    let patience = state.config.max_bypass;
     let Some(entry) = state.calls.get_mut(&call) else {
         return;
     };
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -150,7 +150,7 @@
         return;
     }
     drop_prefix(state, program, |waste, tokens| waste.moved += tokens);
-    if state.strategy.holds_prefixes {
+    if state.strategy.leases_prefixes {
         state.order(left, EngineOrderBody::ReleaseLease { program });
     }
 }
--- a/crates/courseshed-dispatch/src/systems/engine_choice.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_choice.rs
@@ -8,8 +8,8 @@
 use courseshed_types::{CallId, EngineId, Timestamp, Tokens, dispatch::WaitingCall};
 
 use crate::{
-    baselines::Choice,
     state::State,
+    strategy::EngineSelection,
     systems::transfers,
     tables::{EngineEntry, ProgramEntry},
 };
@@ -171,7 +171,7 @@
 }
 
 fn priority_of(state: &State, call: &WaitingCall) -> i32 {
-    match state.strategy.honours_priority {
+    match state.strategy.honors_priority {
         true => call.priority,
         false => 0,
     }
@@ -211,10 +211,10 @@
         true => AVOIDED_COST,
         false => 0,
     };
-    let base = match state.strategy.choice {
-        Choice::LeastLoad => load,
-        Choice::Affinity => affinity_cost(state, now, wanted, engine, load),
-        Choice::Balanced => prefill + load + zone_cost(state, wanted.call, engine),
+    let base = match state.strategy.engine_selection {
+        EngineSelection::LeastLoad => load,
+        EngineSelection::Affinity => affinity_cost(state, now, wanted, engine, load),
+        EngineSelection::LowestCost => prefill + load + zone_cost(state, wanted.call, engine),
     };
     base + avoidance
 }
@@ -226,8 +226,8 @@
     let limit = u64::from(engine.call_limit(&state.config, now).max(1));
     let slots = u64::from(engine.in_flight) * penalty / limit;
     let size = engine.memory_size().map_or(0, |size| size.0);
-    match state.strategy.choice {
-        Choice::Balanced => slots.max(engine.memory.0 * penalty / size.max(1)),
+    match state.strategy.engine_selection {
+        EngineSelection::LowestCost => slots.max(engine.memory.0 * penalty / size.max(1)),
         _ => slots,
     }
 }
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/intake.rs
@@ -9,8 +9,8 @@
 };
 
 use crate::{
-    baselines::Charging,
     state::State,
+    strategy::Charging,
     systems::{announcing, assignment, cache_view, engine_health, fairness, pauses, queueing},
     tables::{CallEntry, CallPhase, TermCheck, Timer},
     units::Service,
--- a/crates/courseshed-dispatch/src/systems/ordering.rs
+++ b/crates/courseshed-dispatch/src/systems/ordering.rs
@@ -12,8 +12,8 @@
 use courseshed_types::{Timestamp, dispatch::WaitingCall};
 
 use crate::{
-    baselines::{Ordering, Strategy},
     config::DispatcherConfig,
+    strategy::{CallOrdering, Strategy},
     tables::Rank,
 };
 
@@ -37,13 +37,13 @@
     call: &WaitingCall,
     now: Timestamp,
 ) -> (Rank, Option<Timestamp>) {
-    let steps = config.priority_steps;
-    let urgency = match strategy.honours_priority {
+    let steps = config.max_priority_steps;
+    let urgency = match strategy.honors_priority {
         true => call.priority.clamp(-steps, steps),
         false => 0,
     };
     let arrival = call.accepted_at.0 as i64;
-    if strategy.ordering == Ordering::FirstCome {
+    if strategy.ordering == CallOrdering::FirstCome {
         let rank = Rank {
             at: arrival,
             urgency,
--- a/crates/courseshed-dispatch/src/systems/parking.rs
+++ b/crates/courseshed-dispatch/src/systems/parking.rs
@@ -113,7 +113,7 @@
 /// The full engine that caches the call's prefix and the maximum wait for it, if parking pays off.
 fn worth_waiting_for(state: &State, now: Timestamp, call: CallId) -> Option<(EngineId, Duration)> {
     let entry = state.calls.get(&call)?;
-    if !state.strategy.parks || entry.was_parked {
+    if !state.strategy.parks_calls || entry.was_parked {
         return None;
     }
     let program = state.programs.get(&call.program)?;
@@ -128,8 +128,8 @@
     }
     let saved = prefix.tokens.saturating_sub(program.exported);
     let saved = saved.min(entry.call.prompt_tokens);
-    let wait = recompute_time(state, saved).min(state.config.affinity_wait);
-    (wait >= state.config.least_affinity_wait).then(|| (prefix.engine.clone(), wait))
+    let wait = recompute_time(state, saved).min(state.config.max_parking_wait);
+    (wait >= state.config.min_parking_wait).then(|| (prefix.engine.clone(), wait))
 }
 
 /// Time an engine needs to compute prompt tokens.
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -45,7 +45,7 @@
 
 /// Restarts the timer after which an idle program is dropped.
 pub(crate) fn remember(state: &mut State, now: Timestamp, program: ProgramId) {
-    let forget_at = now + state.config.forget_program;
+    let forget_at = now + state.config.program_idle_timeout;
     state.timers.set(forget_at, Timer::Forget(program));
 }
 
@@ -60,7 +60,7 @@
 
 /// Decides again whether to keep a paused program's lease, and renews or releases it.
 pub(crate) fn review(state: &mut State, now: Timestamp, program: ProgramId) {
-    if !state.strategy.holds_prefixes {
+    if !state.strategy.leases_prefixes {
         return;
     }
     let Some(engine) = held_on(state, program) else {
@@ -93,7 +93,7 @@
     };
     cache_view::recount(state, &entry.branch, prefix.tokens, Tokens::ZERO);
     state.cache_account(&entry.branch).waste.abandoned += prefix.unused.0;
-    if state.strategy.holds_prefixes {
+    if state.strategy.leases_prefixes {
         state.counters.leases_released += 1;
         let engine = prefix.engine.clone();
         state.order(engine, EngineOrderBody::ReleaseLease { program });
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -21,12 +21,12 @@
 
 /// Sheds calls until the queues are within their limits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
-    shed_hopeless(state, now);
+    shed_unservable(state, now);
     shed_overload(state, now);
 }
 
 /// Sheds the last calls of queues so long that those calls would time out before being served.
-fn shed_hopeless(state: &mut State, now: Timestamp) {
+fn shed_unservable(state: &mut State, now: Timestamp) {
     let grown = std::mem::take(&mut state.grown_queues);
     for queue in grown {
         while let Some(call) = hopeless_call(state, now, queue) {
@@ -35,7 +35,7 @@
                 "the branch's queue is too long for its share of the pool to serve the call before its queue deadline",
             );
             let wait = expected_wait(state, now, queue);
-            state.counters.shed_hopeless += 1;
+            state.counters.shed_unservable += 1;
             shed(state, call, error.retry_after(wait));
         }
     }
@@ -49,7 +49,7 @@
     let call = last_call(node)?;
     let patience = state.calls.get(&call)?.call.give_up_at.since(now);
     let wait = learned_wait(state, now, queue)?;
-    let hopeless = patience.as_secs_f64() * state.config.hopeless_wait;
+    let hopeless = patience.as_secs_f64() * state.config.max_wait_ratio;
     (wait > hopeless).then_some(call)
 }
 
--- a/crates/courseshed-dispatch/src/tables/branches.rs
+++ b/crates/courseshed-dispatch/src/tables/branches.rs
@@ -9,7 +9,7 @@
 use courseshed_types::{BranchPath, CallId, PolicySnapshot};
 
 use crate::{
-    baselines::Sharing,
+    strategy::Sharing,
     tables::Rank,
     units::{DecayedService, VirtualTime},
 };
--- a/crates/courseshed-dispatch/src/tables/engines.rs
+++ b/crates/courseshed-dispatch/src/tables/engines.rs
@@ -98,7 +98,7 @@
     /// Limit on this dispatcher's in-flight calls.
     pub(crate) fn call_limit(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let batch = self.batch(config);
-        let ahead = (f64::from(batch) * config.send_ahead).ceil() as u32;
+        let ahead = (f64::from(batch) * config.slot_overcommit).ceil() as u32;
         let limit = (batch + ahead).saturating_sub(self.foreign_calls(config, now));
         if self.health.is_probing {
             return limit.min(config.probe_calls);
@@ -121,7 +121,7 @@
             .by_priority
             .first_key_value()
             .is_some_and(|(least, _)| *least < priority);
-        let ahead = (f64::from(self.batch(config)) * config.urgent_ahead).ceil() as u32;
+        let ahead = (f64::from(self.batch(config)) * config.urgent_slot_overcommit).ceil() as u32;
         let is_steady = !self.health.is_probing && self.warming_since.is_none();
         let limit = self.call_limit(config, now) + ahead;
         priority > 0 && is_outranked && is_steady && self.in_flight < limit
@@ -129,13 +129,13 @@
 
     /// Limit on calls parked for the engine.
     pub(crate) fn parking_limit(&self, config: &DispatcherConfig) -> usize {
-        (f64::from(self.batch(config)) * config.affinity_ahead).ceil() as usize
+        (f64::from(self.batch(config)) * config.parked_fraction).ceil() as usize
     }
 
     fn batch(&self, config: &DispatcherConfig) -> u32 {
         match &self.report {
             Some(report) if report.load.max_batch > 0 => report.load.max_batch,
-            _ => config.assumed_batch,
+            _ => config.default_batch,
         }
     }
 
@@ -145,7 +145,7 @@
         let Some(report) = &self.report else {
             return 0;
         };
-        if now.since(report.at) > config.stale_report {
+        if now.since(report.at) > config.max_report_age {
             return 0;
         }
         let reported = report.load.running + report.load.waiting;
--- a/crates/courseshed-dispatch/tests/baselines.rs
+++ b/crates/courseshed-dispatch/tests/baselines.rs
@@ -10,7 +10,7 @@
 
 fn driver(kind: PolicyKind, engines: &[&str], batch: u32) -> Driver {
     let config = DispatcherConfig {
-        send_ahead: 0.0,
+        slot_overcommit: 0.0,
         ..DispatcherConfig::default()
     };
     let mut driver = Driver::new(kind, config);
--- a/crates/courseshed-dispatch/tests/common/mod.rs
+++ b/crates/courseshed-dispatch/tests/common/mod.rs
@@ -144,10 +144,10 @@
         }
     }
 
-    /// A driver whose engines have reported batch size `max_batch`, with `send_ahead` disabled.
+    /// A driver whose engines have reported batch size `max_batch`, with `slot_overcommit` disabled.
     pub fn with_engines(engines: &[&str], max_batch: u32) -> Driver {
         let config = DispatcherConfig {
-            send_ahead: 0.0,
+            slot_overcommit: 0.0,
             ..DispatcherConfig::default()
         };
         let mut driver = Driver::new(PolicyKind::Courseshed, config);
