--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -22,7 +22,7 @@
         return None;
     }
     let queue = entry.queue;
-    let entitled_share = state.branches.entitled(queue);
+    let entitled_share = state.branches.entitled_share(queue);
     let attained_share = attained(&state.branches, queue);
     Some(WaitExplanation {
         call,
@@ -119,16 +119,19 @@
 fn branch_stats(state: &State) -> Vec<BranchStats> {
     let mut waiting: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     for (index, node) in state.branches.iter() {
-        for above in state.branches.path_up(index) {
+        for above in state.branches.path_to_root(index) {
             *waiting.entry(above).or_default() += node.queue.len();
         }
     }
     let of_node = |(index, node): (NodeIndex, &crate::tables::BranchNode)| {
-        let account = state.caches.get(&node.path).filter(|_| !node.is_own_queue);
+        let account = state
+            .cache_accounts
+            .get(&node.path)
+            .filter(|_| !node.is_own_queue);
         BranchStats {
             branch: node.path.clone(),
             own_queue: node.is_own_queue,
-            entitled_share: state.branches.entitled(index),
+            entitled_share: state.branches.entitled_share(index),
             served: node.served,
             waiting: waiting.get(&index).copied().unwrap_or(0),
             cached_tokens: account.map_or(0, |account| account.cached),
@@ -146,7 +149,7 @@
         let entry = EngineStats {
             engine: id.clone(),
             state: engine.member.state,
-            takes_work: engine.takes_work(now, &state.pool.model),
+            takes_work: engine.accepts_calls(now, &state.pool.model),
             ejected_until: engine.health.ejected_until,
             in_flight: engine.in_flight,
             call_limit: engine.call_limit(&state.config, now),
--- a/crates/courseshed-dispatch/src/invariants/mod.rs
+++ b/crates/courseshed-dispatch/src/invariants/mod.rs
@@ -57,15 +57,15 @@
 fn check_listings(state: &State) {
     for (index, node) in state.branches.iter() {
         let has_calls = !node.queue.is_empty() || !node.active.is_empty();
-        assert_eq!(node.active.len(), node.urgent.len());
+        assert_eq!(node.active.len(), node.by_urgency.len());
         if index == NodeIndex::ROOT {
             continue;
         }
         assert_eq!(has_calls, node.listing.is_some());
         if let (Some(listing), Some(parent)) = (node.listing, node.parent) {
             let parent = state.branches.node(parent);
-            assert!(parent.active.contains(&(listing.key, index)));
-            assert!(parent.urgent.contains(&(listing.urgency, index)));
+            assert!(parent.active.contains(&(listing.effective_start, index)));
+            assert!(parent.by_urgency.contains(&(listing.urgency, index)));
         }
     }
 }
@@ -73,10 +73,10 @@
 fn check_engines(state: &State) {
     let mut calls: BTreeMap<EngineId, (u32, u64)> = BTreeMap::new();
     for (_, call) in state.calls.iter() {
-        if let Some(placement) = call.placement() {
-            let entry = calls.entry(placement.engine.clone()).or_default();
+        if let Some(assignment) = call.assignment() {
+            let entry = calls.entry(assignment.engine.clone()).or_default();
             entry.0 += 1;
-            entry.1 += placement.memory.0;
+            entry.1 += assignment.memory.0;
         }
     }
     for (id, engine) in state.engines.iter() {
@@ -98,10 +98,10 @@
         }
         if prefix.leased_until.is_some() {
             let mut calls = state.calls.iter().filter(|(call, _)| call.program == *id);
-            assert!(calls.all(|(_, call)| call.placement().is_none()));
+            assert!(calls.all(|(_, call)| call.assignment().is_none()));
         }
     }
-    for (branch, account) in &state.caches {
+    for (branch, account) in &state.cache_accounts {
         let programs = state
             .programs
             .iter()
@@ -125,9 +125,9 @@
                 .and_then(|entry| entry.prefix.as_ref());
             prefix.is_some_and(|prefix| prefix.leased_until.is_some() && prefix.engine == *id)
         };
-        assert!(engine.lessees.iter().all(is_held));
+        assert!(engine.leased_programs.iter().all(is_held));
     }
-    for (branch, account) in &state.caches {
+    for (branch, account) in &state.cache_accounts {
         assert_eq!(account.leased, by_branch.get(branch).copied().unwrap_or(0));
     }
 }
--- a/crates/courseshed-dispatch/src/state.rs
+++ b/crates/courseshed-dispatch/src/state.rs
@@ -73,13 +73,13 @@
     /// Rate at which calls leave the queues.
     pub(crate) drain_rate: DecayingRate,
     pub(crate) demand: DemandMeter,
-    pub(crate) caches: BTreeMap<BranchPath, CacheAccount>,
+    pub(crate) cache_accounts: BTreeMap<BranchPath, CacheAccount>,
     /// Fraction of the pool each branch is entitled to by hierarchical shares, whichever policy
     /// kind is in use.
     pub(crate) entitlements: BTreeMap<BranchPath, f64>,
     pub(crate) counters: DispatchCounters,
     /// Programs whose shards will be asked whether they are still alive.
-    pub(crate) checks: LivenessChecks,
+    pub(crate) liveness_checks: LivenessChecks,
     /// Prefix tokens stored outside engines.
     pub(crate) exported: Tokens,
     /// Queues that have grown since shedding last ran.
@@ -89,7 +89,7 @@
 
 impl State {
     /// Queues an event for the leader of a shard, if the shard is known.
-    pub(crate) fn say(&mut self, shard: ShardId, body: DispatchEventBody) {
+    pub(crate) fn send_event(&mut self, shard: ShardId, body: DispatchEventBody) {
         let Some(entry) = self.shards.get(shard) else {
             return;
         };
@@ -104,7 +104,7 @@
     }
 
     /// Queues an order for an engine.
-    pub(crate) fn order(&mut self, engine: EngineId, body: EngineOrderBody) {
+    pub(crate) fn send_order(&mut self, engine: EngineId, body: EngineOrderBody) {
         self.outputs
             .push(DispatchOutput::Order(EngineOrder { engine, body }));
     }
@@ -126,9 +126,10 @@
 
     /// Cache account of a branch, created on first use.
     pub(crate) fn cache_account(&mut self, branch: &BranchPath) -> &mut CacheAccount {
-        if !self.caches.contains_key(branch) {
-            self.caches.insert(branch.clone(), CacheAccount::default());
+        if !self.cache_accounts.contains_key(branch) {
+            self.cache_accounts
+                .insert(branch.clone(), CacheAccount::default());
         }
-        self.caches.get_mut(branch).expect("just inserted")
+        self.cache_accounts.get_mut(branch).expect("just inserted")
     }
 }
--- a/crates/courseshed-dispatch/src/systems/announcing.rs
+++ b/crates/courseshed-dispatch/src/systems/announcing.rs
@@ -11,7 +11,7 @@
 /// Starts the announcement timer of a new shard or a shard with a new leader.
 pub(crate) fn expect(state: &mut State, now: Timestamp, shard: ShardId) {
     let at = now + state.config.announce_grace;
-    state.timers.set(at, Timer::Announce(shard));
+    state.timers.set(at, Timer::AnnounceTimeout(shard));
 }
 
 /// Requests an announcement from a shard that has not sent one.
@@ -19,13 +19,13 @@
     let Some(entry) = state.shards.get_mut(shard) else {
         return;
     };
-    if entry.announced || entry.times_asked >= MAX_ASKED {
+    if entry.announced || entry.announce_requests >= MAX_ASKED {
         return;
     }
-    entry.times_asked += 1;
-    let wait = state.config.announce_grace * (1 << entry.times_asked);
-    state.timers.set(now + wait, Timer::Announce(shard));
-    state.say(shard, DispatchEventBody::AnnounceAll);
+    entry.announce_requests += 1;
+    let wait = state.config.announce_grace * (1 << entry.announce_requests);
+    state.timers.set(now + wait, Timer::AnnounceTimeout(shard));
+    state.send_event(shard, DispatchEventBody::AnnounceAll);
 }
 
 /// Handles the end of an announcement: calls of the shard that were not named are dropped.
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -17,19 +17,19 @@
         engine_choice, engine_choice::Closed, fairness, intake, parking, pauses, queueing, reclaim,
         transfers,
     },
-    tables::{CallPhase, EngineEntry, NodeIndex, Placement, Rank, Timer},
+    tables::{Assignment, CallPhase, EngineEntry, NodeIndex, Rank, Timer},
     units::Service,
 };
 
 /// Maximum number of calls that may be bypassed in one run because they fit on no engine.
-const MAX_PASSED_OVER: usize = 8;
+const MAX_BYPASSED: usize = 8;
 
 /// Assigns calls until no engine has a slot or no remaining call fits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     parking::run(state, now);
-    let mut passed_over: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
+    let mut bypassed: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
     let mut closed = Closed::default();
-    while passed_over.len() < MAX_PASSED_OVER {
+    while bypassed.len() < MAX_BYPASSED {
         let Some((queue, call)) = fairness::next_call(&state.branches) else {
             break;
         };
@@ -49,9 +49,9 @@
         let Some((queue, rank)) = queueing::dequeue(state, call) else {
             break;
         };
-        passed_over.push((queue, rank, call));
+        bypassed.push((queue, rank, call));
     }
-    for (queue, rank, call) in passed_over {
+    for (queue, rank, call) in bypassed {
         queueing::put_back(state, queue, rank, call);
     }
 }
@@ -84,7 +84,7 @@
     let Some(entry) = state.calls.get_mut(&call) else {
         return;
     };
-    let since = *entry.passed_over_since.get_or_insert(now);
+    let since = *entry.bypassed_since.get_or_insert(now);
     if now.since(since) < patience {
         return;
     }
@@ -99,16 +99,18 @@
         return;
     };
     let queue = entry.queue;
-    let placement = estimate(state, &entry.call, engine, now);
+    let assignment = estimate(state, &entry.call, engine, now);
     pauses::resume(state, call.program);
     if let Some(engine) = state.engines.get_mut(engine) {
-        engine.add_call(placement.memory, placement.priority);
+        engine.add_call(assignment.memory, assignment.priority);
     }
     let warp = state.config.warp_per_priority;
-    fairness::charge(&mut state.branches, queue, placement.charged, warp);
+    fairness::charge(&mut state.branches, queue, assignment.charged, warp);
     let resend_at = now + state.config.assignment_resend;
     state.timers.set(resend_at, Timer::Resend(call));
-    state.calls.set_phase(&call, CallPhase::Assigned(placement));
+    state
+        .calls
+        .set_phase(&call, CallPhase::Assigned(assignment));
 }
 
 /// Sends a call's assignment to its shard.
@@ -116,21 +118,21 @@
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    let CallPhase::Assigned(placement) = &entry.phase else {
+    let CallPhase::Assigned(assignment) = &entry.phase else {
         return;
     };
-    let Some(engine) = state.engines.get(&placement.engine) else {
+    let Some(engine) = state.engines.get(&assignment.engine) else {
         return;
     };
     let body = DispatchEventBody::Assigned {
         call,
         attempt: entry.call.attempt,
-        engine: placement.engine.clone(),
+        engine: assignment.engine.clone(),
         engine_address: engine.member.address.clone(),
-        priority: placement.priority,
+        priority: assignment.priority,
     };
     let shard = entry.shard;
-    state.say(shard, body);
+    state.send_event(shard, body);
 }
 
 /// Resends an unconfirmed assignment. If the engine is draining, the assignment is revoked and the
@@ -139,10 +141,10 @@
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    let CallPhase::Assigned(placement) = &entry.phase else {
+    let CallPhase::Assigned(assignment) = &entry.phase else {
         return;
     };
-    let engine = state.engines.get(&placement.engine);
+    let engine = state.engines.get(&assignment.engine);
     if engine.is_none_or(EngineEntry::is_leaving) {
         return intake::wait_anew(state, now, call);
     }
@@ -179,8 +181,8 @@
     }
 }
 
-fn estimate(state: &State, call: &WaitingCall, engine: &EngineId, now: Timestamp) -> Placement {
-    Placement {
+fn estimate(state: &State, call: &WaitingCall, engine: &EngineId, now: Timestamp) -> Assignment {
+    Assignment {
         engine: engine.clone(),
         charged: expected_charge(state, call.call, engine),
         memory: engine_choice::needed_memory(state, call.call),
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -151,7 +151,7 @@
     }
     drop_prefix(state, program, |waste, tokens| waste.moved += tokens);
     if state.strategy.leases_prefixes {
-        state.order(left, EngineOrderBody::ReleaseLease { program });
+        state.send_order(left, EngineOrderBody::ReleaseLease { program });
     }
 }
 
@@ -194,12 +194,19 @@
 /// The branch charged for an eviction: the owner if its cached tokens exceed its entitled share,
 /// else the branch that exceeds its entitled share most.
 fn cause_of_eviction(state: &State, owner: &BranchPath) -> BranchPath {
-    let all: u64 = state.caches.values().map(|account| account.cached).sum();
+    let all: u64 = state
+        .cache_accounts
+        .values()
+        .map(|account| account.cached)
+        .sum();
     let excess = |branch: &BranchPath, cached: u64| {
         let entitled = state.entitlements.get(branch).copied().unwrap_or(1.0);
         cached as f64 - entitled * all as f64
     };
-    let of_owner = state.caches.get(owner).map_or(0, |account| account.cached);
+    let of_owner = state
+        .cache_accounts
+        .get(owner)
+        .map_or(0, |account| account.cached);
     if excess(owner, of_owner) > 0.0 {
         return owner.clone();
     }
@@ -207,7 +214,7 @@
         (excess(branch, account.cached), branch.clone())
     };
     let most = state
-        .caches
+        .cache_accounts
         .iter()
         .map(exceeds)
         .max_by(|(left, _), (right, _)| left.total_cmp(right));
@@ -251,7 +258,7 @@
         if entry.leased_for.is_some() && !is_known {
             let program = entry.program;
             state.counters.leases_released += 1;
-            state.order(engine.clone(), EngineOrderBody::ReleaseLease { program });
+            state.send_order(engine.clone(), EngineOrderBody::ReleaseLease { program });
         }
     }
 }
--- a/crates/courseshed-dispatch/src/systems/engine_choice.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_choice.rs
@@ -145,16 +145,16 @@
     }
     let wanted = Wanted::of(state, call)?;
     let could_fit = |engine: &EngineEntry| {
-        let size = engine.memory_size();
+        let size = engine.memory_capacity();
         size.is_some_and(|size| size >= wanted.memory)
     };
     state
         .engines
         .iter()
-        .filter(|(id, engine)| closed.is_open(id) && engine.takes_work(now, &state.pool.model))
+        .filter(|(id, engine)| closed.is_open(id) && engine.accepts_calls(now, &state.pool.model))
         .filter(|(_, engine)| could_fit(engine))
         .max_by_key(|(id, engine)| {
-            let room = engine.memory_room(&state.config).unwrap_or_default();
+            let room = engine.available_memory(&state.config).unwrap_or_default();
             room.saturating_add(wanted.held_on(id))
         })
         .map(|(id, _)| id.clone())
@@ -163,7 +163,7 @@
 /// Whether an engine has a slot for a call of this priority, memory aside.
 pub(crate) fn has_slot(state: &State, engine: &EngineEntry, now: Timestamp, priority: i32) -> bool {
     let in_grace = now < state.grace_until && engine.report.is_none();
-    if in_grace || !engine.takes_work(now, &state.pool.model) {
+    if in_grace || !engine.accepts_calls(now, &state.pool.model) {
         return false;
     }
     let is_free = engine.in_flight < engine.call_limit(&state.config, now);
@@ -187,11 +187,11 @@
 /// Whether an engine has enough memory. An urgent call beyond the slot limit may use the memory of
 /// the call it preempts.
 fn fits(state: &State, now: Timestamp, engine: &EngineEntry, wanted: &Wanted) -> bool {
-    let Some(room) = engine.memory_room(&state.config) else {
+    let Some(room) = engine.available_memory(&state.config) else {
         return true;
     };
     let overtakes = engine.in_flight >= engine.call_limit(&state.config, now);
-    let size = engine.memory_size();
+    let size = engine.memory_capacity();
     if overtakes && size.is_some_and(|size| size >= wanted.memory) {
         return true;
     }
@@ -225,7 +225,7 @@
     let penalty = state.config.load_penalty;
     let limit = u64::from(engine.call_limit(&state.config, now).max(1));
     let slots = u64::from(engine.in_flight) * penalty / limit;
-    let size = engine.memory_size().map_or(0, |size| size.0);
+    let size = engine.memory_capacity().map_or(0, |size| size.0);
     match state.strategy.engine_selection {
         EngineSelection::LowestCost => slots.max(engine.memory.0 * penalty / size.max(1)),
         _ => slots,
@@ -250,9 +250,9 @@
 }
 
 fn is_out_of_balance(state: &State, now: Timestamp) -> bool {
-    let takes_work = |engine: &&EngineEntry| engine.takes_work(now, &state.pool.model);
+    let accepts_calls = |engine: &&EngineEntry| engine.accepts_calls(now, &state.pool.model);
     let engines = state.engines.iter().map(|(_, engine)| engine);
-    let loads = engines.filter(takes_work).map(|engine| engine.in_flight);
+    let loads = engines.filter(accepts_calls).map(|engine| engine.in_flight);
     let (least, most) = loads.fold((u32::MAX, 0), |(least, most), load| {
         (least.min(load), most.max(load))
     });
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -41,7 +41,7 @@
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
-    if entry.take_report(now, load) {
+    if entry.record_report(now, load) {
         begin_slow_start(state, now, engine);
         cache_view::lost(state, engine);
     }
@@ -75,7 +75,7 @@
         return;
     };
     entry.health.failures += 1;
-    let is_on_trial = entry.warming_since.is_some() || entry.health.is_probing;
+    let is_on_trial = entry.slow_start_since.is_some() || entry.health.is_probing;
     if entry.health.failures >= needed || is_on_trial {
         eject(state, now, engine);
     }
@@ -92,13 +92,13 @@
         entry.health.is_probing = true;
         return;
     }
-    let Some(since) = entry.warming_since else {
+    let Some(since) = entry.slow_start_since else {
         return;
     };
     if now >= since + slow_start {
-        entry.warming_since = None;
+        entry.slow_start_since = None;
     } else {
-        set_warming_timer(state, now, engine);
+        set_slow_start_timer(state, now, engine);
     }
 }
 
@@ -128,9 +128,9 @@
 /// Accounts for calls that were placed on an engine before it was listed.
 fn adopt_calls(state: &State, entry: &mut EngineEntry) {
     for (_, call) in state.calls.iter() {
-        match call.placement() {
-            Some(placement) if placement.engine == entry.member.engine => {
-                entry.add_call(placement.memory, placement.priority);
+        match call.assignment() {
+            Some(assignment) if assignment.engine == entry.member.engine => {
+                entry.add_call(assignment.memory, assignment.priority);
             }
             _ => {}
         }
@@ -150,20 +150,24 @@
     entry.health.ejections += 1;
     entry.health.ejected_until = Some(until);
     entry.health.is_probing = false;
-    entry.warming_since = None;
+    entry.slow_start_since = None;
     state.counters.ejections += 1;
-    state.timers.set(until, Timer::Engine(engine.clone()));
+    state
+        .timers
+        .set(until, Timer::EngineRecheck(engine.clone()));
 }
 
 fn begin_slow_start(state: &mut State, now: Timestamp, engine: &EngineId) {
     if let Some(entry) = state.engines.get_mut(engine) {
-        entry.warming_since = Some(now);
-        set_warming_timer(state, now, engine);
+        entry.slow_start_since = Some(now);
+        set_slow_start_timer(state, now, engine);
     }
 }
 
 /// Schedules the next slow-start step, a tenth of the slow-start time.
-fn set_warming_timer(state: &mut State, now: Timestamp, engine: &EngineId) {
+fn set_slow_start_timer(state: &mut State, now: Timestamp, engine: &EngineId) {
     let step = state.config.slow_start / 10;
-    state.timers.set(now + step, Timer::Engine(engine.clone()));
+    state
+        .timers
+        .set(now + step, Timer::EngineRecheck(engine.clone()));
 }
--- a/crates/courseshed-dispatch/src/systems/expiry.rs
+++ b/crates/courseshed-dispatch/src/systems/expiry.rs
@@ -11,15 +11,15 @@
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     while let Some(timer) = state.timers.pop_due(now) {
         match timer {
-            Timer::GiveUp(call) => shedding::give_up(state, now, call),
+            Timer::QueueDeadline(call) => shedding::give_up(state, now, call),
             Timer::Rerank(call) => queueing::rerank(state, now, call),
             Timer::Unpark(call) => parking::send_back(state, now, call),
-            Timer::Imported(call) => assignment::announce(state, call),
+            Timer::ImportDone(call) => assignment::announce(state, call),
             Timer::Resend(call) => assignment::resend(state, now, call),
-            Timer::Hold(program) => pauses::review(state, now, program),
-            Timer::Forget(program) => pauses::forget(state, now, program),
-            Timer::Engine(engine) => engine_health::recheck(state, now, &engine),
-            Timer::Announce(shard) => announcing::ask(state, now, shard),
+            Timer::LeaseReview(program) => pauses::review(state, now, program),
+            Timer::ProgramIdle(program) => pauses::forget(state, now, program),
+            Timer::EngineRecheck(engine) => engine_health::recheck(state, now, &engine),
+            Timer::AnnounceTimeout(shard) => announcing::ask(state, now, shard),
             Timer::GraceEnds => {}
         }
     }
--- a/crates/courseshed-dispatch/src/systems/fairness.rs
+++ b/crates/courseshed-dispatch/src/systems/fairness.rs
@@ -28,7 +28,7 @@
         let parent = tree.node(index).parent;
         if let Some(parent) = parent {
             activate(tree, index, parent, keeps_credit);
-            relist(tree, index, parent, warp);
+            update_listing(tree, index, parent, warp);
         }
         current = parent;
     }
@@ -52,7 +52,7 @@
         let node = tree.node(index);
         if let (Some(listing), Some(parent)) = (node.listing, node.parent) {
             let parent = tree.node_mut(parent);
-            parent.virtual_now = parent.virtual_now.max(listing.key);
+            parent.virtual_time = parent.virtual_time.max(listing.effective_start);
         }
     }
 }
@@ -81,15 +81,15 @@
 }
 
 fn path(tree: &BranchTable, from: NodeIndex) -> Vec<NodeIndex> {
-    tree.path_up(from).collect()
+    tree.path_to_root(from).collect()
 }
 
 fn advance(tree: &mut BranchTable, index: NodeIndex, units: i128) {
     let pool_served = tree.node(NodeIndex::ROOT).served;
     let node = tree.node_mut(index);
-    node.start += VirtualTime::from_service(units, node.weight);
+    node.start_tag += VirtualTime::from_service(units, node.weight);
     if node.floor > 0.0 {
-        node.floor_start += VirtualTime::from_service(units, node.floor);
+        node.floor_start_tag += VirtualTime::from_service(units, node.floor);
     }
     node.recent.add(units, pool_served);
     node.served = (i128::from(node.served) + units).max(0) as u64;
@@ -102,14 +102,14 @@
     if !is_idle || !has_calls || keeps_credit {
         return;
     }
-    let parent_now = tree.node(parent).virtual_now;
+    let parent_virtual_time = tree.node(parent).virtual_time;
     let pool_now = pool_clock(tree);
     let node = tree.node_mut(index);
-    node.start = node.start.max(parent_now);
-    node.floor_start = node.floor_start.max(pool_now);
+    node.start_tag = node.start_tag.max(parent_virtual_time);
+    node.floor_start_tag = node.floor_start_tag.max(pool_now);
 }
 
-fn relist(tree: &mut BranchTable, index: NodeIndex, parent: NodeIndex, warp: u64) {
+fn update_listing(tree: &mut BranchTable, index: NodeIndex, parent: NodeIndex, warp: u64) {
     let listing = listing_of(tree, index, warp);
     let older = std::mem::replace(&mut tree.node_mut(index).listing, listing);
     if older == listing {
@@ -117,16 +117,16 @@
     }
     if let Some(older) = older {
         let parent = tree.node_mut(parent);
-        parent.active.remove(&(older.key, index));
-        parent.urgent.remove(&(older.urgency, index));
+        parent.active.remove(&(older.effective_start, index));
+        parent.by_urgency.remove(&(older.urgency, index));
         if let Some(floor) = older.floor {
             tree.floors.remove(&(floor, index));
         }
     }
     if let Some(listing) = listing {
         let parent = tree.node_mut(parent);
-        parent.active.insert((listing.key, index));
-        parent.urgent.insert((listing.urgency, index));
+        parent.active.insert((listing.effective_start, index));
+        parent.by_urgency.insert((listing.urgency, index));
         if let Some(floor) = listing.floor {
             tree.floors.insert((floor, index));
         }
@@ -136,13 +136,13 @@
 fn listing_of(tree: &BranchTable, index: NodeIndex, warp: u64) -> Option<Listing> {
     let node = tree.node(index);
     let own = node.queue.first().map(|(rank, _)| rank.urgency);
-    let below = node.urgent.last().map(|(urgency, _)| *urgency);
+    let below = node.by_urgency.last().map(|(urgency, _)| *urgency);
     let urgency = own.or(below)?;
     let overtakes = i128::from(urgency) * i128::from(warp);
     Some(Listing {
-        key: node.start - VirtualTime::from_service(overtakes, 1.0),
+        effective_start: node.start_tag - VirtualTime::from_service(overtakes, 1.0),
         urgency,
-        floor: (node.floor > 0.0).then_some(node.floor_start),
+        floor: (node.floor > 0.0).then_some(node.floor_start_tag),
     })
 }
 
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/intake.rs
@@ -21,7 +21,7 @@
         return;
     }
     let shard = request.shard;
-    match state.shards.check(shard, request.leader, request.term) {
+    match state.shards.check_term(shard, request.leader, request.term) {
         TermCheck::Stale => {
             state.counters.stale_terms += 1;
             return;
@@ -126,7 +126,10 @@
     state
         .workload
         .record_output(entry.branch(), usage.completion_tokens);
-    let Some(engine) = entry.placement().map(|placement| placement.engine.clone()) else {
+    let Some(engine) = entry
+        .assignment()
+        .map(|assignment| assignment.engine.clone())
+    else {
         return;
     };
     engine_health::succeeded(state, now, &engine);
@@ -153,7 +156,9 @@
         return;
     };
     settle(state, &entry, Some(Service(0)));
-    let engine = entry.placement().map(|placement| placement.engine.clone());
+    let engine = entry
+        .assignment()
+        .map(|assignment| assignment.engine.clone());
     if let (true, Some(engine)) = (engine_fault, engine) {
         engine_health::failed(state, now, &engine);
     }
@@ -210,7 +215,7 @@
         shard,
         queue,
         generation,
-        passed_over_since: None,
+        bypassed_since: None,
         was_parked: false,
         phase: CallPhase::Waiting(Default::default()),
     });
@@ -223,8 +228,8 @@
         return false;
     };
     let placed_there = known
-        .placement()
-        .is_some_and(|placement| placement.engine == *engine);
+        .assignment()
+        .is_some_and(|assignment| assignment.engine == *engine);
     if known.call.attempt != call.attempt || !placed_there {
         return false;
     }
@@ -237,10 +242,10 @@
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    if let CallPhase::Assigned(placement) = &entry.phase {
+    if let CallPhase::Assigned(assignment) = &entry.phase {
         state.timers.cancel(Timer::Resend(call));
-        let placement = placement.clone();
-        state.calls.set_phase(&call, CallPhase::Running(placement));
+        let assignment = assignment.clone();
+        state.calls.set_phase(&call, CallPhase::Running(assignment));
     }
 }
 
@@ -251,7 +256,7 @@
         state.counters.stale_attempts += 1;
         return None;
     }
-    program.note_ended(request);
+    program.record_ended(request);
     let known = state.calls.get(&request.call)?;
     if known.call.attempt > request.attempt {
         return None;
@@ -261,15 +266,15 @@
 
 /// Releases the call's capacity on its engine and replaces the estimated charge by `counted`.
 fn settle(state: &mut State, entry: &CallEntry, counted: Option<Service>) {
-    let Some(placement) = entry.placement() else {
+    let Some(assignment) = entry.assignment() else {
         return;
     };
-    if let Some(engine) = state.engines.get_mut(&placement.engine) {
-        engine.remove_call(placement.memory, placement.priority);
+    if let Some(engine) = state.engines.get_mut(&assignment.engine) {
+        engine.remove_call(assignment.memory, assignment.priority);
     }
     if let Some(counted) = counted {
         let warp = state.config.warp_per_priority;
-        let charged = placement.charged;
+        let charged = assignment.charged;
         fairness::correct(&mut state.branches, entry.queue, charged, counted, warp);
     }
 }
--- a/crates/courseshed-dispatch/src/systems/liveness.rs
+++ b/crates/courseshed-dispatch/src/systems/liveness.rs
@@ -23,18 +23,18 @@
 
 /// Adds a paused program with a lease to the next batch.
 pub(crate) fn note(state: &mut State, shard: ShardId, program: ProgramId) {
-    let programs = state.checks.by_shard.entry(shard).or_default();
+    let programs = state.liveness_checks.by_shard.entry(shard).or_default();
     programs.insert(program);
 }
 
 /// Sends the batch if the interval has elapsed.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
-    if now < state.checks.next || state.checks.by_shard.is_empty() {
+    if now < state.liveness_checks.next || state.liveness_checks.by_shard.is_empty() {
         return;
     }
-    state.checks.next = now + INTERVAL;
-    for (shard, programs) in std::mem::take(&mut state.checks.by_shard) {
+    state.liveness_checks.next = now + INTERVAL;
+    for (shard, programs) in std::mem::take(&mut state.liveness_checks.by_shard) {
         let programs = programs.into_iter().collect();
-        state.say(shard, DispatchEventBody::CheckPrograms(programs));
+        state.send_event(shard, DispatchEventBody::CheckPrograms(programs));
     }
 }
--- a/crates/courseshed-dispatch/src/systems/ordering.rs
+++ b/crates/courseshed-dispatch/src/systems/ordering.rs
@@ -45,7 +45,7 @@
     let arrival = call.accepted_at.0 as i64;
     if strategy.ordering == CallOrdering::FirstCome {
         let rank = Rank {
-            at: arrival,
+            adjusted_arrival: arrival,
             urgency,
         };
         return (rank, None);
@@ -54,7 +54,7 @@
     let delay = attained_delay(call) + if missed { micros(MISSED_DELAY) } else { 0 };
     let head_start = i64::from(urgency) * micros(PRIORITY_HEAD_START);
     let rank = Rank {
-        at: arrival + delay - head_start,
+        adjusted_arrival: arrival + delay - head_start,
         urgency,
     };
     (rank, call.aim_at.filter(|_| !missed))
--- a/crates/courseshed-dispatch/src/systems/parking.rs
+++ b/crates/courseshed-dispatch/src/systems/parking.rs
@@ -47,11 +47,11 @@
 /// accept no calls.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     for engine in with_parked(state) {
-        let takes_work = state
+        let accepts_calls = state
             .engines
             .get(&engine)
-            .is_some_and(|entry| entry.takes_work(now, &state.pool.model));
-        match takes_work {
+            .is_some_and(|entry| entry.accepts_calls(now, &state.pool.model));
+        match accepts_calls {
             true => give_parked(state, now, &engine),
             false => abandon(state, now, &engine),
         }
@@ -122,8 +122,8 @@
     let is_full = !engine_choice::has_room(state, now, call, &prefix.engine);
     let is_crowded = engine.parked.len() >= engine.parking_limit(&state.config);
     let is_avoided = entry.call.avoid.contains(&prefix.engine);
-    let takes_work = engine.takes_work(now, &state.pool.model);
-    if !is_full || is_crowded || is_avoided || !takes_work {
+    let accepts_calls = engine.accepts_calls(now, &state.pool.model);
+    if !is_full || is_crowded || is_avoided || !accepts_calls {
         return None;
     }
     let saved = prefix.tokens.saturating_sub(program.exported);
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -46,7 +46,7 @@
 /// Restarts the timer after which an idle program is dropped.
 pub(crate) fn remember(state: &mut State, now: Timestamp, program: ProgramId) {
     let forget_at = now + state.config.program_idle_timeout;
-    state.timers.set(forget_at, Timer::Forget(program));
+    state.timers.set(forget_at, Timer::ProgramIdle(program));
 }
 
 /// Drops a program that has been idle too long, unless one of its calls is known.
@@ -72,7 +72,7 @@
         PauseDecision::Export => {
             renew(state, now, program, engine);
             let done_at = transfers::export(state, now, program);
-            state.timers.set(done_at, Timer::Hold(program));
+            state.timers.set(done_at, Timer::LeaseReview(program));
         }
     }
 }
@@ -86,7 +86,7 @@
 pub(crate) fn end(state: &mut State, program: ProgramId) -> Option<ProgramEntry> {
     unlease(state, program);
     transfers::forget_copy(state, program);
-    state.timers.cancel(Timer::Forget(program));
+    state.timers.cancel(Timer::ProgramIdle(program));
     let entry = state.programs.remove(&program)?;
     let Some(prefix) = &entry.prefix else {
         return Some(entry);
@@ -96,7 +96,7 @@
     if state.strategy.leases_prefixes {
         state.counters.leases_released += 1;
         let engine = prefix.engine.clone();
-        state.order(engine, EngineOrderBody::ReleaseLease { program });
+        state.send_order(engine, EngineOrderBody::ReleaseLease { program });
     }
     Some(entry)
 }
@@ -112,12 +112,12 @@
     };
     let had_lease = prefix.leased_until.take().is_some();
     if had_lease {
-        state.timers.cancel(Timer::Hold(program));
+        state.timers.cancel(Timer::LeaseReview(program));
     }
     let tokens = std::mem::take(&mut prefix.leased_tokens);
     if let Some(engine) = state.engines.get_mut(&prefix.engine) {
         engine.leased = engine.leased.saturating_sub(tokens);
-        engine.lessees.remove(&program);
+        engine.leased_programs.remove(&program);
     }
     state.remove_leased(&branch, tokens);
     had_lease
@@ -136,7 +136,7 @@
         return;
     };
     state.counters.leases_released += 1;
-    state.order(engine, EngineOrderBody::ReleaseLease { program });
+    state.send_order(engine, EngineOrderBody::ReleaseLease { program });
 }
 
 /// Handles a lease that the engine no longer lists because it expired or was broken.
@@ -180,7 +180,7 @@
     let tokens = prefix.tokens;
     if let Some(engine) = state.engines.get_mut(&engine) {
         engine.leased = engine.leased.saturating_add(tokens);
-        engine.lessees.insert(program);
+        engine.leased_programs.insert(program);
     }
     state.add_leased(&branch, tokens);
     state.counters.leases_renewed += 1;
@@ -189,10 +189,10 @@
         program,
         time_to_live,
     };
-    state.order(engine, body);
+    state.send_order(engine, body);
     state
         .timers
-        .set(now + time_to_live / 2, Timer::Hold(program));
+        .set(now + time_to_live / 2, Timer::LeaseReview(program));
 }
 
 /// The engine with the prefix of a program that is paused, or whose next call is queued while a
@@ -216,7 +216,7 @@
     else {
         return PauseDecision::Drop;
     };
-    if !holder.takes_work(now, &state.pool.model) {
+    if !holder.accepts_calls(now, &state.pool.model) {
         return PauseDecision::Drop;
     }
     let Some(since) = entry.paused_since else {
@@ -304,7 +304,7 @@
 
 /// Memory pressure on an engine, 0 to 1; 1 if the program's branch exceeds its cache share.
 fn pressure_on(state: &State, entry: &ProgramEntry, engine: &EngineEntry) -> f64 {
-    let Some(size) = engine.memory_size() else {
+    let Some(size) = engine.memory_capacity() else {
         return 0.0;
     };
     if over_cache_share(state, entry, size) {
@@ -324,7 +324,10 @@
 fn over_cache_share(state: &State, entry: &ProgramEntry, engine_size: Tokens) -> bool {
     let memory = state.engines.len() as f64 * engine_size.0 as f64;
     let is_over = |path: BranchPath| {
-        let held = state.caches.get(&path).map_or(0, |account| account.leased);
+        let held = state
+            .cache_accounts
+            .get(&path)
+            .map_or(0, |account| account.leased);
         let policy = state.policy.branches.get(&path);
         let share = policy.map_or(1.0, |policy| policy.cache_share);
         held as f64 > share * memory
--- a/crates/courseshed-dispatch/src/systems/queueing.rs
+++ b/crates/courseshed-dispatch/src/systems/queueing.rs
@@ -16,7 +16,9 @@
     };
     let (rank, changes_at) = ordering::rank(&state.config, state.strategy, &entry.call, now);
     let queue = entry.queue;
-    state.timers.set(entry.call.give_up_at, Timer::GiveUp(call));
+    state
+        .timers
+        .set(entry.call.give_up_at, Timer::QueueDeadline(call));
     if let Some(at) = changes_at {
         state.timers.set(at, Timer::Rerank(call));
     }
@@ -45,13 +47,13 @@
     parking::take_out(state, call);
     stop_waiting(state, call);
     state.timers.cancel(Timer::Resend(call));
-    state.timers.cancel(Timer::Imported(call));
+    state.timers.cancel(Timer::ImportDone(call));
     state.calls.remove(&call)
 }
 
 /// Cancels the timers of a queued call.
 pub(crate) fn stop_waiting(state: &mut State, call: CallId) {
-    state.timers.cancel(Timer::GiveUp(call));
+    state.timers.cancel(Timer::QueueDeadline(call));
     state.timers.cancel(Timer::Rerank(call));
 }
 
--- a/crates/courseshed-dispatch/src/systems/reclaim.rs
+++ b/crates/courseshed-dispatch/src/systems/reclaim.rs
@@ -39,7 +39,7 @@
     for (id, engine) in state.engines.iter() {
         let is_candidate =
             closed.is_open(id) && engine_choice::has_slot(state, engine, now, priority);
-        let Some(room) = engine.memory_room(&state.config) else {
+        let Some(room) = engine.available_memory(&state.config) else {
             continue;
         };
         let own = engine_choice::held_for(state, call, id);
@@ -66,7 +66,7 @@
         return Vec::new();
     };
     let mut programs: Vec<(f64, ProgramId)> = entry
-        .lessees
+        .leased_programs
         .iter()
         .filter(|program| **program != except)
         .map(|program| (pauses::expected_use(state, now, *program), *program))
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -42,7 +42,7 @@
 }
 
 fn hopeless_call(state: &State, now: Timestamp, queue: NodeIndex) -> Option<CallId> {
-    let node = state.branches.find(queue)?;
+    let node = state.branches.get(queue)?;
     if node.queue.len() <= state.config.min_branch_waiting {
         return None;
     }
@@ -87,14 +87,15 @@
 
 fn shed(state: &mut State, call: CallId, error: CallError) {
     if let Some(entry) = queueing::remove(state, call) {
-        state.say(entry.shard, DispatchEventBody::Shed { call, error });
+        state.send_event(entry.shard, DispatchEventBody::Shed { call, error });
     }
 }
 
 /// The last call of the queue that is longest relative to its share.
 fn worst_call(state: &State) -> Option<(NodeIndex, CallId)> {
     let least = state.config.min_branch_waiting;
-    let over = |index: NodeIndex, waiting: usize| waiting as f64 / state.branches.entitled(index);
+    let over =
+        |index: NodeIndex, waiting: usize| waiting as f64 / state.branches.entitled_share(index);
     let (index, _) = state
         .branches
         .iter()
@@ -126,5 +127,5 @@
 fn learned_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Option<f64> {
     let rate = state.drain_rate.per_second(now)?;
     let waiting = state.branches.node(queue).queue.len() as f64;
-    Some(waiting / (rate * state.branches.active_part(queue)))
+    Some(waiting / (rate * state.branches.active_share(queue)))
 }
--- a/crates/courseshed-dispatch/src/systems/transfers.rs
+++ b/crates/courseshed-dispatch/src/systems/transfers.rs
@@ -33,7 +33,7 @@
     let older = std::mem::replace(&mut entry.exported, tokens);
     state.exported = state.exported.saturating_sub(older).saturating_add(tokens);
     state.counters.exports += 1;
-    state.order(engine, EngineOrderBody::Export { program });
+    state.send_order(engine, EngineOrderBody::Export { program });
     now + transfer_time(state, tokens) + EXPORT_MARGIN
 }
 
@@ -52,7 +52,7 @@
     cache_view::put(state, program, engine, tokens, Tokens::ZERO);
     note_used(state, program);
     state.counters.imports += 1;
-    state.order(engine.clone(), EngineOrderBody::Import { program });
+    state.send_order(engine.clone(), EngineOrderBody::Import { program });
     Some(transfer_time(state, missing))
 }
 
@@ -100,7 +100,7 @@
 /// Schedules a call's assignment for when its import should be complete.
 pub(crate) fn set_import_timer(state: &mut State, now: Timestamp, call: CallId, wait: Duration) {
     let resend = state.config.assignment_resend;
-    state.timers.set(now + wait, Timer::Imported(call));
+    state.timers.set(now + wait, Timer::ImportDone(call));
     state.timers.set(now + wait + resend, Timer::Resend(call));
 }
 
--- a/crates/courseshed-dispatch/src/tables/branches.rs
+++ b/crates/courseshed-dispatch/src/tables/branches.rs
@@ -23,13 +23,13 @@
 }
 
 /// Weight of a branch's own queue relative to the branch's children.
-const OWN_QUEUE_SHARE: f64 = 1.0;
+const OWN_QUEUE_WEIGHT: f64 = 1.0;
 
 /// Keys under which a node is stored in its parent's ordered sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Listing {
     /// Start tag of the next service, less the priority warp.
-    pub(crate) key: VirtualTime,
+    pub(crate) effective_start: VirtualTime,
     /// Priority of the node's most urgent next call, in steps.
     pub(crate) urgency: i32,
     /// Key in the set of guaranteed minimums, for nodes that have one.
@@ -50,11 +50,11 @@
     /// Fraction of the engines' cache that leases of the branch may hold, 0 to 1.
     pub(crate) cache_share: f64,
     /// Start tag of the node's next service, in its parent's virtual time.
-    pub(crate) start: VirtualTime,
+    pub(crate) start_tag: VirtualTime,
     /// Virtual time of the node's children.
-    pub(crate) virtual_now: VirtualTime,
+    pub(crate) virtual_time: VirtualTime,
     /// Start tag against the guaranteed minimum, in the pool's virtual time.
-    pub(crate) floor_start: VirtualTime,
+    pub(crate) floor_start_tag: VirtualTime,
     /// Service charged so far, corrected by reported usage.
     pub(crate) served: u64,
     /// Charged service with exponential decay.
@@ -63,7 +63,7 @@
     /// Children with queued calls in their subtree, by start tag.
     pub(crate) active: BTreeSet<(VirtualTime, NodeIndex)>,
     /// Children with queued calls, by priority.
-    pub(crate) urgent: BTreeSet<(i32, NodeIndex)>,
+    pub(crate) by_urgency: BTreeSet<(i32, NodeIndex)>,
     /// Queued calls by rank; empty except at leaves.
     pub(crate) queue: BTreeSet<(Rank, CallId)>,
     /// The subset of `queue` that are the first calls of their root program.
@@ -80,14 +80,14 @@
             weight,
             floor: 0.0,
             cache_share: 1.0,
-            start: VirtualTime::default(),
-            virtual_now: VirtualTime::default(),
-            floor_start: VirtualTime::default(),
+            start_tag: VirtualTime::default(),
+            virtual_time: VirtualTime::default(),
+            floor_start_tag: VirtualTime::default(),
             served: 0,
             recent: DecayedService::default(),
             listing: None,
             active: BTreeSet::new(),
-            urgent: BTreeSet::new(),
+            by_urgency: BTreeSet::new(),
             queue: BTreeSet::new(),
             first_calls: BTreeSet::new(),
         }
@@ -121,7 +121,7 @@
             Sharing::Flat => table.add_flat(policy),
             Sharing::Tree => table.add_tree(policy),
         }
-        table.list_queues();
+        table.index_queues();
         if let Some(older) = older {
             table.carry_over(older);
         }
@@ -155,14 +155,14 @@
     }
 
     /// The node and its ancestors, ending with the root.
-    pub(crate) fn path_up(&self, from: NodeIndex) -> impl Iterator<Item = NodeIndex> {
+    pub(crate) fn path_to_root(&self, from: NodeIndex) -> impl Iterator<Item = NodeIndex> {
         std::iter::successors(Some(from), |index| self.node(*index).parent)
     }
 
     /// Fraction of the pool a node is entitled to by shares, 0 to 1. A branch's own queue counts
     /// only while it has calls, since most branches with children make none of their own.
-    pub(crate) fn entitled(&self, index: NodeIndex) -> f64 {
-        self.path_up(index)
+    pub(crate) fn entitled_share(&self, index: NodeIndex) -> f64 {
+        self.path_to_root(index)
             .map(|node| self.weight_without_idle_queue(node))
             .product()
     }
@@ -183,14 +183,14 @@
     }
 
     /// The node at an index, if it exists.
-    pub(crate) fn find(&self, index: NodeIndex) -> Option<&BranchNode> {
+    pub(crate) fn get(&self, index: NodeIndex) -> Option<&BranchNode> {
         self.nodes.get(index.0 as usize)
     }
 
     /// Fraction of the pool a node gets while it competes only with branches that have queued
     /// calls, 0 to 1.
-    pub(crate) fn active_part(&self, index: NodeIndex) -> f64 {
-        self.path_up(index)
+    pub(crate) fn active_share(&self, index: NodeIndex) -> f64 {
+        self.path_to_root(index)
             .map(|node| self.active_weight(node))
             .product()
     }
@@ -211,7 +211,7 @@
     /// Entitled fraction of the pool of each branch that queues calls, 0 to 1.
     pub(crate) fn entitlements(&self) -> BTreeMap<BranchPath, f64> {
         let queues = self.queues.iter();
-        let entitled = queues.map(|(path, index)| (path.clone(), self.entitled(*index)));
+        let entitled = queues.map(|(path, index)| (path.clone(), self.entitled_share(*index)));
         entitled.collect()
     }
 
@@ -238,7 +238,7 @@
             indices.insert(path.clone(), self.add(parent, node));
         }
         self.add_own_queues();
-        self.normalise_weights();
+        self.normalize_weights();
     }
 
     fn add_flat(&mut self, policy: &PolicySnapshot) {
@@ -252,13 +252,13 @@
             if index == NodeIndex::ROOT {
                 continue;
             }
-            let weight = tree.entitled(index);
+            let weight = tree.entitled_share(index);
             self.add(
                 NodeIndex::ROOT,
                 BranchNode::new(node.path.clone(), None, weight),
             );
         }
-        self.normalise_weights();
+        self.normalize_weights();
     }
 
     fn add_own_queues(&mut self) {
@@ -267,14 +267,14 @@
             if node.children.is_empty() {
                 continue;
             }
-            let mut own = BranchNode::new(node.path.clone(), None, OWN_QUEUE_SHARE);
+            let mut own = BranchNode::new(node.path.clone(), None, OWN_QUEUE_WEIGHT);
             own.is_own_queue = true;
             own.cache_share = node.cache_share;
             self.add(NodeIndex(index as u32), own);
         }
     }
 
-    fn normalise_weights(&mut self) {
+    fn normalize_weights(&mut self) {
         for index in 0..self.nodes.len() {
             let children = self.nodes[index].children.clone();
             let sum: f64 = children.iter().map(|child| self.node(*child).weight).sum();
@@ -284,7 +284,7 @@
         }
     }
 
-    fn list_queues(&mut self) {
+    fn index_queues(&mut self) {
         let queues = self
             .iter()
             .filter(|(_, node)| node.children.is_empty())
@@ -304,20 +304,20 @@
                 self.nodes[index].path.clone(),
                 self.nodes[index].is_own_queue,
             );
-            let parent_now = self.nodes[index]
+            let parent_virtual_time = self.nodes[index]
                 .parent
-                .map(|parent| self.node(parent).virtual_now)
+                .map(|parent| self.node(parent).virtual_time)
                 .unwrap_or_default();
             let node = &mut self.nodes[index];
             match accounts.get(&key) {
                 Some(old) => {
-                    node.start = old.start;
-                    node.virtual_now = old.virtual_now;
-                    node.floor_start = old.floor_start;
+                    node.start_tag = old.start_tag;
+                    node.virtual_time = old.virtual_time;
+                    node.floor_start_tag = old.floor_start_tag;
                     node.served = old.served;
                     node.recent = old.recent;
                 }
-                None => node.start = parent_now,
+                None => node.start_tag = parent_virtual_time,
             }
         }
     }
--- a/crates/courseshed-dispatch/src/tables/calls.rs
+++ b/crates/courseshed-dispatch/src/tables/calls.rs
@@ -13,14 +13,14 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Rank {
     /// Arrival time in microseconds, adjusted by the ordering policy.
-    pub(crate) at: i64,
+    pub(crate) adjusted_arrival: i64,
     /// Priority in steps.
     pub(crate) urgency: i32,
 }
 
 /// Estimates made when a call was assigned to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) struct Placement {
+pub(crate) struct Assignment {
     pub(crate) engine: EngineId,
     pub(crate) charged: Service,
     /// KV memory the call is expected to use.
@@ -45,9 +45,9 @@
     /// Temporarily out of its queue, reserved for the engine that caches its prefix.
     Parked(Parking),
     /// Assigned to an engine, not yet confirmed by the shard.
-    Assigned(Placement),
+    Assigned(Assignment),
     /// Assignment committed by the shard.
-    Running(Placement),
+    Running(Assignment),
 }
 
 #[derive(Debug, Clone)]
@@ -58,7 +58,7 @@
     /// Announcement generation of the shard that last named the call.
     pub(crate) generation: u64,
     /// Since when smaller calls have bypassed it because it fits on no engine.
-    pub(crate) passed_over_since: Option<Timestamp>,
+    pub(crate) bypassed_since: Option<Timestamp>,
     /// Whether it has been parked before; a call is parked at most once.
     pub(crate) was_parked: bool,
     pub(crate) phase: CallPhase,
@@ -71,10 +71,10 @@
     }
 
     /// The assignment, if there is one.
-    pub(crate) fn placement(&self) -> Option<&Placement> {
+    pub(crate) fn assignment(&self) -> Option<&Assignment> {
         match &self.phase {
             CallPhase::Waiting(_) | CallPhase::Parked(_) => None,
-            CallPhase::Assigned(placement) | CallPhase::Running(placement) => Some(placement),
+            CallPhase::Assigned(assignment) | CallPhase::Running(assignment) => Some(assignment),
         }
     }
 
--- a/crates/courseshed-dispatch/src/tables/engines.rs
+++ b/crates/courseshed-dispatch/src/tables/engines.rs
@@ -38,7 +38,7 @@
     pub(crate) report: Option<LoadReport>,
     pub(crate) health: Health,
     /// Start of slow start; `None` once the engine takes its full batch.
-    pub(crate) warming_since: Option<Timestamp>,
+    pub(crate) slow_start_since: Option<Timestamp>,
     /// Calls of this dispatcher in flight on the engine.
     pub(crate) in_flight: u32,
     /// Those calls, counted by the priority sent to the engine.
@@ -46,11 +46,11 @@
     /// KV memory those calls are expected to use.
     pub(crate) memory: Tokens,
     /// Peaks of `in_flight` since the last report and in the interval before it.
-    pub(crate) peaks: [u32; 2],
+    pub(crate) in_flight_peaks: [u32; 2],
     /// KV memory held by leases of paused programs, as tracked by this dispatcher.
     pub(crate) leased: Tokens,
     /// Programs with a lease on the engine.
-    pub(crate) lessees: BTreeSet<ProgramId>,
+    pub(crate) leased_programs: BTreeSet<ProgramId>,
     /// Calls parked for the engine because it caches their prefix.
     pub(crate) parked: BTreeSet<CallId>,
     /// Number of the last cache event received.
@@ -63,13 +63,13 @@
             member,
             report: None,
             health: Health::default(),
-            warming_since: None,
+            slow_start_since: None,
             in_flight: 0,
             by_priority: BTreeMap::new(),
             memory: Tokens::ZERO,
-            peaks: [0; 2],
+            in_flight_peaks: [0; 2],
             leased: Tokens::ZERO,
-            lessees: BTreeSet::new(),
+            leased_programs: BTreeSet::new(),
             parked: BTreeSet::new(),
             last_event: None,
         }
@@ -77,12 +77,12 @@
 
     /// Whether the engine is draining, according to the directory or its own report.
     pub(crate) fn is_leaving(&self) -> bool {
-        let says_so = |report: &LoadReport| report.load.leaving;
-        self.member.state != EngineState::Live || self.report.as_ref().is_some_and(says_so)
+        let reports_leaving = |report: &LoadReport| report.load.leaving;
+        self.member.state != EngineState::Live || self.report.as_ref().is_some_and(reports_leaving)
     }
 
     /// Whether the engine accepts new calls for the model.
-    pub(crate) fn takes_work(&self, now: Timestamp, model: &ModelName) -> bool {
+    pub(crate) fn accepts_calls(&self, now: Timestamp, model: &ModelName) -> bool {
         let ejected = self.health.ejected_until.is_some_and(|until| now < until);
         self.member.state == EngineState::Live && !ejected && self.serves(model)
     }
@@ -99,11 +99,11 @@
     pub(crate) fn call_limit(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let batch = self.batch(config);
         let ahead = (f64::from(batch) * config.slot_overcommit).ceil() as u32;
-        let limit = (batch + ahead).saturating_sub(self.foreign_calls(config, now));
+        let limit = (batch + ahead).saturating_sub(self.external_calls(config, now));
         if self.health.is_probing {
             return limit.min(config.probe_calls);
         }
-        match self.warm_part(config.slow_start, now) {
+        match self.slow_start_fraction(config.slow_start, now) {
             Some(part) => ((f64::from(limit) * part) as u32).max(1),
             None => limit,
         }
@@ -122,7 +122,7 @@
             .first_key_value()
             .is_some_and(|(least, _)| *least < priority);
         let ahead = (f64::from(self.batch(config)) * config.urgent_slot_overcommit).ceil() as u32;
-        let is_steady = !self.health.is_probing && self.warming_since.is_none();
+        let is_steady = !self.health.is_probing && self.slow_start_since.is_none();
         let limit = self.call_limit(config, now) + ahead;
         priority > 0 && is_outranked && is_steady && self.in_flight < limit
     }
@@ -141,7 +141,7 @@
 
     /// Calls of other dispatchers on the engine, from the last report. Reports lag, so the peak of
     /// this dispatcher's own calls over the last two reporting intervals is subtracted.
-    fn foreign_calls(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
+    fn external_calls(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let Some(report) = &self.report else {
             return 0;
         };
@@ -149,20 +149,22 @@
             return 0;
         }
         let reported = report.load.running + report.load.waiting;
-        let ours = self.peaks[0].max(self.peaks[1]).max(self.in_flight);
+        let ours = self.in_flight_peaks[0]
+            .max(self.in_flight_peaks[1])
+            .max(self.in_flight);
         reported.saturating_sub(ours)
     }
 
     /// KV memory size, if reported.
-    pub(crate) fn memory_size(&self) -> Option<Tokens> {
+    pub(crate) fn memory_capacity(&self) -> Option<Tokens> {
         let load = &self.report.as_ref()?.load;
         let tokens = u64::from(load.total_blocks) * u64::from(load.block_tokens);
         (tokens > 0).then_some(Tokens(tokens))
     }
 
     /// KV memory available for another call, if the size is known.
-    pub(crate) fn memory_room(&self, config: &DispatcherConfig) -> Option<Tokens> {
-        let size = self.memory_size()?;
+    pub(crate) fn available_memory(&self, config: &DispatcherConfig) -> Option<Tokens> {
+        let size = self.memory_capacity()?;
         let usable = Tokens((size.0 as f64 * config.memory_limit) as u64);
         Some(
             usable
@@ -172,8 +174,8 @@
     }
 
     /// Fraction of the call limit during slow start; `None` otherwise.
-    fn warm_part(&self, slow_start: Duration, now: Timestamp) -> Option<f64> {
-        let since = self.warming_since?;
+    fn slow_start_fraction(&self, slow_start: Duration, now: Timestamp) -> Option<f64> {
+        let since = self.slow_start_since?;
         let part = now.since(since).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
         (part < 1.0).then_some(part)
     }
@@ -183,7 +185,7 @@
         self.in_flight += 1;
         *self.by_priority.entry(priority).or_default() += 1;
         self.memory = self.memory.saturating_add(memory);
-        self.peaks[0] = self.peaks[0].max(self.in_flight);
+        self.in_flight_peaks[0] = self.in_flight_peaks[0].max(self.in_flight);
     }
 
     /// Removes a call from the engine's accounting.
@@ -199,13 +201,13 @@
     }
 
     /// Stores a load report. Returns true if the engine has restarted since the previous one.
-    pub(crate) fn take_report(&mut self, now: Timestamp, load: EngineLoad) -> bool {
+    pub(crate) fn record_report(&mut self, now: Timestamp, load: EngineLoad) -> bool {
         let restarted = self
             .report
             .as_ref()
             .is_some_and(|report| report.load.start != load.start);
         self.report = Some(LoadReport { load, at: now });
-        self.peaks = [self.in_flight, self.peaks[0]];
+        self.in_flight_peaks = [self.in_flight, self.in_flight_peaks[0]];
         restarted
     }
 }
--- a/crates/courseshed-dispatch/src/tables/mod.rs
+++ b/crates/courseshed-dispatch/src/tables/mod.rs
@@ -8,7 +8,7 @@
 mod timers;
 
 pub(crate) use branches::{BranchNode, BranchTable, Listing, NodeIndex};
-pub(crate) use calls::{CallEntry, CallPhase, CallTable, Parking, Placement, Rank};
+pub(crate) use calls::{Assignment, CallEntry, CallPhase, CallTable, Parking, Rank};
 pub(crate) use engines::{EngineEntry, EngineTable};
 pub(crate) use programs::{CachedPrefix, ProgramEntry, ProgramTable};
 pub(crate) use shards::{ShardTable, TermCheck};
--- a/crates/courseshed-dispatch/src/tables/programs.rs
+++ b/crates/courseshed-dispatch/src/tables/programs.rs
@@ -57,7 +57,7 @@
     }
 
     /// Records the end of an attempt.
-    pub(crate) fn note_ended(&mut self, request: &RequestId) {
+    pub(crate) fn record_ended(&mut self, request: &RequestId) {
         let attempt = (request.call.sequence, request.attempt);
         self.last_ended = self.last_ended.max(Some(attempt));
     }
--- a/crates/courseshed-dispatch/src/tables/shards.rs
+++ b/crates/courseshed-dispatch/src/tables/shards.rs
@@ -13,7 +13,7 @@
     /// Whether the shard has announced all its calls to this dispatcher.
     pub(crate) announced: bool,
     /// Number of announcement requests sent.
-    pub(crate) times_asked: u32,
+    pub(crate) announce_requests: u32,
 }
 
 /// Result of checking a message's term.
@@ -42,14 +42,14 @@
     }
 
     /// Checks a message's term. A newer term replaces the leader and starts a new announcement.
-    pub(crate) fn check(&mut self, shard: ShardId, leader: NodeId, term: u64) -> TermCheck {
+    pub(crate) fn check_term(&mut self, shard: ShardId, leader: NodeId, term: u64) -> TermCheck {
         let Some(entry) = self.shards.get_mut(&shard) else {
             let entry = ShardEntry {
                 leader,
                 term,
                 generation: 0,
                 announced: false,
-                times_asked: 0,
+                announce_requests: 0,
             };
             self.shards.insert(shard, entry);
             return TermCheck::New;
@@ -64,7 +64,7 @@
         entry.term = term;
         entry.generation += 1;
         entry.announced = false;
-        entry.times_asked = 0;
+        entry.announce_requests = 0;
         TermCheck::New
     }
 }
--- a/crates/courseshed-dispatch/src/tables/timers.rs
+++ b/crates/courseshed-dispatch/src/tables/timers.rs
@@ -8,23 +8,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Timer {
     /// The call's queue deadline has passed.
-    GiveUp(CallId),
+    QueueDeadline(CallId),
     /// The call's rank may have changed.
     Rerank(CallId),
     /// The prefix import for the call should be complete.
-    Imported(CallId),
+    ImportDone(CallId),
     /// The call has been parked for its maximum wait.
     Unpark(CallId),
     /// The call's assignment has not been confirmed.
     Resend(CallId),
     /// The lease of the paused program is due for review.
-    Hold(ProgramId),
+    LeaseReview(ProgramId),
     /// The program may have been idle long enough to be dropped.
-    Forget(ProgramId),
+    ProgramIdle(ProgramId),
     /// The engine's ejection has ended or its slow start advances.
-    Engine(EngineId),
+    EngineRecheck(EngineId),
     /// The shard should have announced its calls.
-    Announce(ShardId),
+    AnnounceTimeout(ShardId),
     /// Engines that have not reported their load may be used.
     GraceEnds,
 }
