--- a/crates/courseshed-dispatch/src/placement/adapters.rs
+++ b/crates/courseshed-dispatch/src/placement/adapters.rs
@@ -4,14 +4,14 @@
 
 use super::{
     EngineHolding, PlacementChange,
-    fleet::{Fleet, part_of},
+    fleet::{Fleet, service_per_model},
 };
 
 /// Plans adapter moves. Adapter weights are small, so only the number of moves is limited.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
     for (model, demand) in &fleet.input.demand {
-        for (adapter, wanted) in &demand.adapters {
-            while *wanted > 0.0 && is_short(fleet, model, adapter, *wanted) {
+        for (adapter, service_demand) in &demand.adapters {
+            while *service_demand > 0.0 && needs_copy(fleet, model, adapter, *service_demand) {
                 if !add_copy(fleet, model, adapter) {
                     break;
                 }
@@ -20,24 +20,24 @@
     }
 }
 
-fn is_short(fleet: &Fleet<'_>, model: &ModelName, adapter: &str, wanted: f64) -> bool {
+fn needs_copy(fleet: &Fleet<'_>, model: &ModelName, adapter: &str, service_demand: f64) -> bool {
     let holders = fleet.holders(model);
     let with = holders.filter(|(_, holding)| holds(holding, model, adapter));
-    let service: f64 = with.map(|(_, holding)| part_of(holding)).sum();
-    wanted > service * fleet.settings.grow_above
+    let service: f64 = with.map(|(_, holding)| service_per_model(holding)).sum();
+    service_demand > service * fleet.settings.scale_up_utilization
 }
 
 /// Loads an adapter on another engine that holds its model, replacing an adapter without demand if
 /// necessary.
 fn add_copy(fleet: &mut Fleet<'_>, model: &ModelName, adapter: &str) -> bool {
-    let Some((engine, unwanted)) = best_engine(fleet, model, adapter) else {
+    let Some((engine, unused)) = best_engine(fleet, model, adapter) else {
         return false;
     };
-    if !fleet.allows(1 + usize::from(unwanted.is_some()), 0) {
+    if !fleet.allows(1 + usize::from(unused.is_some()), 0) {
         return false;
     }
-    if let Some((model, unwanted)) = unwanted {
-        let drop = PlacementChange::DropAdapter(model, unwanted);
+    if let Some((model, unused)) = unused {
+        let drop = PlacementChange::DropAdapter(model, unused);
         fleet.push(&engine, drop, 0);
     }
     let load = PlacementChange::LoadAdapter(model.clone(), adapter.to_owned());
@@ -54,29 +54,29 @@
 ) -> Option<(EngineId, Option<HeldAdapter>)> {
     let candidates = fleet
         .holders(model)
-        .filter(|(id, holding)| fleet.is_free(id) && !holds(holding, model, adapter));
+        .filter(|(id, holding)| fleet.is_changeable(id) && !holds(holding, model, adapter));
     let usable = candidates.filter_map(|(id, holding)| {
         let held: usize = holding.models.values().map(Vec::len).sum();
         if held < holding.adapter_slots {
             return Some((held, id, None));
         }
-        let unwanted = unwanted_on(fleet, holding)?;
-        Some((held, id, Some(unwanted)))
+        let unused = unused_adapter_on(fleet, holding)?;
+        Some((held, id, Some(unused)))
     });
-    let best = usable.min_by_key(|(held, id, unwanted)| (unwanted.is_some(), *held, *id));
-    best.map(|(_, id, unwanted)| (id.clone(), unwanted))
+    let best = usable.min_by_key(|(held, id, unused)| (unused.is_some(), *held, *id));
+    best.map(|(_, id, unused)| (id.clone(), unused))
 }
 
 /// An adapter on the engine that has no demand.
-fn unwanted_on(fleet: &Fleet<'_>, holding: &EngineHolding) -> Option<HeldAdapter> {
-    let is_wanted = |model: &ModelName, adapter: &String| {
+fn unused_adapter_on(fleet: &Fleet<'_>, holding: &EngineHolding) -> Option<HeldAdapter> {
+    let has_demand = |model: &ModelName, adapter: &String| {
         let demand = fleet.demand_of(model);
-        let wanted = demand.and_then(|demand| demand.adapters.get(adapter));
-        wanted.is_some_and(|wanted| *wanted > 0.0)
+        let service_demand = demand.and_then(|demand| demand.adapters.get(adapter));
+        service_demand.is_some_and(|service_demand| *service_demand > 0.0)
     };
     holding.models.iter().find_map(|(model, adapters)| {
-        let unwanted = adapters.iter().find(|adapter| !is_wanted(model, adapter));
-        unwanted.map(|adapter| (model.clone(), adapter.clone()))
+        let unused = adapters.iter().find(|adapter| !has_demand(model, adapter));
+        unused.map(|adapter| (model.clone(), adapter.clone()))
     })
 }
 
--- a/crates/courseshed-dispatch/src/placement/fleet.rs
+++ b/crates/courseshed-dispatch/src/placement/fleet.rs
@@ -15,7 +15,7 @@
     /// Engines as they will be after the planned moves.
     pub(super) engines: BTreeMap<EngineId, EngineHolding>,
     /// Engines already changed by this plan.
-    touched: BTreeSet<EngineId>,
+    changed: BTreeSet<EngineId>,
     moves: Vec<PlacementMove>,
     moves_left: usize,
     bytes_left: u64,
@@ -23,14 +23,19 @@
 
 impl<'a> Fleet<'a> {
     pub(super) fn new(settings: &'a PlacementSettings, input: &'a PlacementInput) -> Fleet<'a> {
-        let is_recent = |at| input.now.since(at) < settings.period;
-        let recent = || input.past.iter().filter(|past| is_recent(past.at));
-        let bytes: u64 = recent().map(|past| past.bytes).sum();
+        let is_in_period = |at| input.now.since(at) < settings.period;
+        let recent = || {
+            input
+                .recent_moves
+                .iter()
+                .filter(|made| is_in_period(made.at))
+        };
+        let bytes: u64 = recent().map(|made| made.bytes).sum();
         Fleet {
             settings,
             input,
             engines: input.engines.clone(),
-            touched: BTreeSet::new(),
+            changed: BTreeSet::new(),
             moves: Vec::new(),
             moves_left: settings.moves_per_period.saturating_sub(recent().count()),
             bytes_left: settings.bytes_per_period.saturating_sub(bytes),
@@ -52,24 +57,24 @@
     }
 
     /// Whether an engine is live, unchanged by this plan, and past its minimum dwell time.
-    pub(super) fn is_settled(&self, engine: &EngineId) -> bool {
+    pub(super) fn is_past_dwell(&self, engine: &EngineId) -> bool {
         let Some(holding) = self.engines.get(engine) else {
             return false;
         };
         let dwell = self.settings.minimum_dwell;
-        let rested = holding
+        let past_dwell = holding
             .changed_at
             .is_none_or(|at| self.input.now.since(at) >= dwell);
-        holding.is_live && rested && !self.touched.contains(engine)
+        holding.is_live && past_dwell && !self.changed.contains(engine)
     }
 
     /// Whether an engine is live and unchanged by this plan.
-    pub(super) fn is_free(&self, engine: &EngineId) -> bool {
+    pub(super) fn is_changeable(&self, engine: &EngineId) -> bool {
         let is_live = self
             .engines
             .get(engine)
             .is_some_and(|holding| holding.is_live);
-        is_live && !self.touched.contains(engine)
+        is_live && !self.changed.contains(engine)
     }
 
     /// Adds a move to the plan and applies it.
@@ -78,7 +83,7 @@
             return;
         };
         apply(holding, &change);
-        self.touched.insert(engine.clone());
+        self.changed.insert(engine.clone());
         self.moves_left = self.moves_left.saturating_sub(1);
         self.bytes_left = self.bytes_left.saturating_sub(bytes);
         let engine = engine.clone();
@@ -97,17 +102,19 @@
     /// Service capacity available to a model, in units per second. Models on the same engine share
     /// it evenly.
     pub(super) fn service_for(&self, model: &ModelName) -> f64 {
-        let parts = self.holders(model).map(|(_, holding)| part_of(holding));
+        let parts = self
+            .holders(model)
+            .map(|(_, holding)| service_per_model(holding));
         parts.sum()
     }
 
     /// Utilization of a model if its capacity changed by `change`; infinite without capacity.
-    pub(super) fn utilisation_with(&self, model: &ModelName, change: f64) -> f64 {
+    pub(super) fn utilization_with(&self, model: &ModelName, change: f64) -> f64 {
         let Some(demand) = self.demand_of(model) else {
             return 0.0;
         };
         let service = self.service_for(model) + change;
-        match service > SERVICE_ROUNDING {
+        match service > MIN_SERVICE {
             true => demand.service / service,
             false => f64::INFINITY,
         }
@@ -121,10 +128,10 @@
 }
 
 /// Capacity below this counts as zero.
-const SERVICE_ROUNDING: f64 = 1.0e-9;
+const MIN_SERVICE: f64 = 1.0e-9;
 
 /// Service capacity per model on an engine, in units per second.
-pub(super) fn part_of(holding: &EngineHolding) -> f64 {
+pub(super) fn service_per_model(holding: &EngineHolding) -> f64 {
     holding.service / holding.models.len().max(1) as f64
 }
 
--- a/crates/courseshed-dispatch/src/placement/mod.rs
+++ b/crates/courseshed-dispatch/src/placement/mod.rs
@@ -28,10 +28,10 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct PlacementSettings {
     /// Utilization above which a model gains a copy.
-    pub grow_above: f64,
+    pub scale_up_utilization: f64,
     /// Utilization below which a model must stay for it to lose a copy or to share an engine with
     /// another model.
-    pub shrink_below: f64,
+    pub scale_down_utilization: f64,
     /// Minimum time between changes of an engine, unless a model in demand has no copy.
     pub minimum_dwell: Duration,
     /// Period over which moves and bytes are limited.
@@ -42,19 +42,19 @@
     pub bytes_per_period: u64,
     /// Minimum number of engines of a model for splitting them into prefill and decode roles;
     /// `None` disables the split.
-    pub split_roles_from: Option<usize>,
+    pub min_engines_for_roles: Option<usize>,
 }
 
 impl Default for PlacementSettings {
     fn default() -> PlacementSettings {
         PlacementSettings {
-            grow_above: 0.8,
-            shrink_below: 0.55,
+            scale_up_utilization: 0.8,
+            scale_down_utilization: 0.55,
             minimum_dwell: Duration::from_secs(300),
             period: Duration::from_secs(60),
             moves_per_period: 4,
             bytes_per_period: 200_000_000_000,
-            split_roles_from: None,
+            min_engines_for_roles: None,
         }
     }
 }
@@ -65,7 +65,7 @@
     /// Requested service in units per second, smoothed.
     pub service: f64,
     /// Fraction of the service that is prefill, 0 to 1.
-    pub prefill_part: f64,
+    pub prefill_fraction: f64,
     /// Size of the model's weights in bytes.
     pub weight_bytes: u64,
     /// Requested service per adapter in units per second, included in `service`.
@@ -107,7 +107,7 @@
 
 /// A recent move, counted against the period's limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct PastMove {
+pub struct RecentMove {
     /// When it was ordered.
     pub at: Timestamp,
     /// Bytes of weights loaded; zero for drops and role changes.
@@ -124,7 +124,7 @@
     /// Engines by id.
     pub engines: BTreeMap<EngineId, EngineHolding>,
     /// Recent moves; those from earlier periods are ignored.
-    pub past: Vec<PastMove>,
+    pub recent_moves: Vec<RecentMove>,
 }
 
 /// A change to an engine's holdings.
--- a/crates/courseshed-dispatch/src/placement/models.rs
+++ b/crates/courseshed-dispatch/src/placement/models.rs
@@ -5,25 +5,25 @@
 
 use super::{
     EngineHolding, PlacementChange,
-    fleet::{Fleet, part_of},
+    fleet::{Fleet, service_per_model},
 };
 
 /// A candidate location for a model copy.
 #[derive(Debug, Clone)]
-struct CopyOption {
+struct CopyCandidate {
     engine: EngineId,
     /// The model to evict, if no slot is free.
     victim: Option<ModelName>,
     /// Highest resulting utilization among the engine's current models, including the evicted one.
-    pressure: f64,
+    max_utilization: f64,
     /// Existing copies of the model in the engine's zone.
     zone_copies: usize,
 }
 
 /// Plans model moves.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
-    for model in shortest_first(fleet) {
-        while is_short(fleet, &model) {
+    for model in most_utilized_first(fleet) {
+        while needs_copy(fleet, &model) {
             if !add_copy(fleet, &model) {
                 break;
             }
@@ -31,26 +31,26 @@
     }
 }
 
-fn is_short(fleet: &Fleet<'_>, model: &ModelName) -> bool {
-    fleet.utilisation_with(model, 0.0) > fleet.settings.grow_above
+fn needs_copy(fleet: &Fleet<'_>, model: &ModelName) -> bool {
+    fleet.utilization_with(model, 0.0) > fleet.settings.scale_up_utilization
 }
 
 /// Models that need another copy, by descending utilization.
-fn shortest_first(fleet: &Fleet<'_>) -> Vec<ModelName> {
+fn most_utilized_first(fleet: &Fleet<'_>) -> Vec<ModelName> {
     let models = fleet.input.demand.keys();
-    let utilised = models.map(|model| (fleet.utilisation_with(model, 0.0), model.clone()));
-    let mut short: Vec<(f64, ModelName)> = utilised
-        .filter(|(utilisation, _)| *utilisation > fleet.settings.grow_above)
+    let utilizations = models.map(|model| (fleet.utilization_with(model, 0.0), model.clone()));
+    let mut overloaded: Vec<(f64, ModelName)> = utilizations
+        .filter(|(utilization, _)| *utilization > fleet.settings.scale_up_utilization)
         .collect();
-    short.sort_by(|(left, left_model), (right, right_model)| {
+    overloaded.sort_by(|(left, left_model), (right, right_model)| {
         right.total_cmp(left).then(left_model.cmp(right_model))
     });
-    short.into_iter().map(|(_, model)| model).collect()
+    overloaded.into_iter().map(|(_, model)| model).collect()
 }
 
 /// Adds a copy of a model; returns false if no move is possible.
 fn add_copy(fleet: &mut Fleet<'_>, model: &ModelName) -> bool {
-    let Some(chosen) = best_option(fleet, model) else {
+    let Some(chosen) = best_candidate(fleet, model) else {
         return false;
     };
     let bytes = fleet
@@ -68,60 +68,65 @@
     true
 }
 
-fn best_option(fleet: &Fleet<'_>, model: &ModelName) -> Option<CopyOption> {
+fn best_candidate(fleet: &Fleet<'_>, model: &ModelName) -> Option<CopyCandidate> {
     let has_none = fleet.holders(model).next().is_none();
-    let may_change = |engine: &EngineId| match has_none {
-        true => fleet.is_free(engine),
-        false => fleet.is_settled(engine),
+    let is_changeable = |engine: &EngineId| match has_none {
+        true => fleet.is_changeable(engine),
+        false => fleet.is_past_dwell(engine),
     };
     let engines = fleet.engines.iter();
+    let engines_without_copy =
+        engines.filter(|(id, holding)| is_changeable(id) && !holding.models.contains_key(model));
     let candidates =
-        engines.filter(|(id, holding)| may_change(id) && !holding.models.contains_key(model));
-    let options = candidates.flat_map(|(id, holding)| options_on(fleet, model, id, holding));
-    options.min_by(|left, right| {
+        engines_without_copy.flat_map(|(id, holding)| candidates_on(fleet, model, id, holding));
+    candidates.min_by(|left, right| {
         let by_victim = left.victim.is_some().cmp(&right.victim.is_some());
         by_victim
             .then(left.zone_copies.cmp(&right.zone_copies))
-            .then(left.pressure.total_cmp(&right.pressure))
+            .then(left.max_utilization.total_cmp(&right.max_utilization))
             .then(left.engine.cmp(&right.engine))
     })
 }
 
-fn options_on(
+fn candidates_on(
     fleet: &Fleet<'_>,
     model: &ModelName,
     engine: &EngineId,
     holding: &EngineHolding,
-) -> Vec<CopyOption> {
+) -> Vec<CopyCandidate> {
     let has_slot = holding.models.len() < holding.model_slots;
     let victims: Vec<Option<ModelName>> = match has_slot {
         true => vec![None],
         false => holding.models.keys().cloned().map(Some).collect(),
     };
-    let option = |victim: Option<ModelName>| {
-        let pressure = pressure_after(fleet, holding, victim.as_ref());
+    let candidate = |victim: Option<ModelName>| {
+        let max_utilization = max_utilization_after(fleet, holding, victim.as_ref());
         let zone_copies = fleet.copies_in(model, &holding.zone);
-        (pressure <= fleet.settings.shrink_below).then(|| CopyOption {
+        (max_utilization <= fleet.settings.scale_down_utilization).then(|| CopyCandidate {
             engine: engine.clone(),
             victim,
-            pressure,
+            max_utilization,
             zone_copies,
         })
     };
-    victims.into_iter().filter_map(option).collect()
+    victims.into_iter().filter_map(candidate).collect()
 }
 
 /// Highest utilization of the engine's current models after adding one model or replacing `victim`.
-fn pressure_after(fleet: &Fleet<'_>, holding: &EngineHolding, victim: Option<&ModelName>) -> f64 {
-    let before = part_of(holding);
+fn max_utilization_after(
+    fleet: &Fleet<'_>,
+    holding: &EngineHolding,
+    victim: Option<&ModelName>,
+) -> f64 {
+    let before = service_per_model(holding);
     let count = holding.models.len() + usize::from(victim.is_none());
     let after = holding.service / count.max(1) as f64;
-    let utilisation = |model: &ModelName| {
+    let utilization = |model: &ModelName| {
         let change = match victim == Some(model) {
             true => -before,
             false => after - before,
         };
-        fleet.utilisation_with(model, change)
+        fleet.utilization_with(model, change)
     };
-    holding.models.keys().map(utilisation).fold(0.0, f64::max)
+    holding.models.keys().map(utilization).fold(0.0, f64::max)
 }
--- a/crates/courseshed-dispatch/src/placement/roles.rs
+++ b/crates/courseshed-dispatch/src/placement/roles.rs
@@ -7,18 +7,18 @@
 
 /// Deviation from the target split, in engines, above which a role changes. Greater than one half,
 /// so that a target between two integers does not make roles oscillate.
-const LEAST_DIFFERENCE: f64 = 0.75;
+const ROLE_HYSTERESIS: f64 = 0.75;
 
 /// Plans role changes.
 pub(super) fn plan(fleet: &mut Fleet<'_>) {
-    let Some(least) = fleet.settings.split_roles_from else {
+    let Some(min_engines) = fleet.settings.min_engines_for_roles else {
         return;
     };
     let models: Vec<ModelName> = fleet.input.demand.keys().cloned().collect();
     for model in models {
         let engines = dedicated(fleet, &model);
-        if engines.len() >= least.max(2) {
-            split(fleet, &model, &engines);
+        if engines.len() >= min_engines.max(2) {
+            assign_roles(fleet, &model, &engines);
         }
     }
 }
@@ -30,44 +30,44 @@
     alone.map(|(id, _)| id.clone()).collect()
 }
 
-fn split(fleet: &mut Fleet<'_>, model: &ModelName, engines: &[EngineId]) {
+fn assign_roles(fleet: &mut Fleet<'_>, model: &ModelName, engines: &[EngineId]) {
     let Some(demand) = fleet.demand_of(model) else {
         return;
     };
     let count = engines.len() as f64;
-    let wanted = (count * demand.prefill_part).clamp(1.0, count - 1.0);
+    let target = (count * demand.prefill_fraction).clamp(1.0, count - 1.0);
     for engine in engines {
         let role = match fleet.engines.get(engine).map(|holding| holding.role) {
-            Some(PlacementRole::Both) => role_for_undecided(fleet, engines, wanted),
-            Some(present) => corrected(fleet, engines, wanted, present),
+            Some(PlacementRole::Both) => initial_role(fleet, engines, target),
+            Some(current) => adjusted_role(fleet, engines, target, current),
             None => continue,
         };
-        let present = fleet.engines.get(engine).map(|holding| holding.role);
-        if present != Some(role) && fleet.is_settled(engine) && fleet.allows(1, 0) {
+        let current = fleet.engines.get(engine).map(|holding| holding.role);
+        if current != Some(role) && fleet.is_past_dwell(engine) && fleet.allows(1, 0) {
             fleet.push(engine, PlacementChange::SetRole(role), 0);
         }
     }
 }
 
-fn role_for_undecided(fleet: &Fleet<'_>, engines: &[EngineId], wanted: f64) -> PlacementRole {
-    match prefill_engines(fleet, engines) + 0.5 <= wanted {
+fn initial_role(fleet: &Fleet<'_>, engines: &[EngineId], target: f64) -> PlacementRole {
+    match prefill_engines(fleet, engines) + 0.5 <= target {
         true => PlacementRole::Prefill,
         false => PlacementRole::Decode,
     }
 }
 
 /// The role for an engine that already has one; changes only if the split deviates enough.
-fn corrected(
+fn adjusted_role(
     fleet: &Fleet<'_>,
     engines: &[EngineId],
-    wanted: f64,
-    present: PlacementRole,
+    target: f64,
+    current: PlacementRole,
 ) -> PlacementRole {
-    let missing = wanted - prefill_engines(fleet, engines);
-    match present {
-        PlacementRole::Decode if missing > LEAST_DIFFERENCE => PlacementRole::Prefill,
-        PlacementRole::Prefill if missing < -LEAST_DIFFERENCE => PlacementRole::Decode,
-        _ => present,
+    let missing = target - prefill_engines(fleet, engines);
+    match current {
+        PlacementRole::Decode if missing > ROLE_HYSTERESIS => PlacementRole::Prefill,
+        PlacementRole::Prefill if missing < -ROLE_HYSTERESIS => PlacementRole::Decode,
+        _ => current,
     }
 }
 
--- a/crates/courseshed-dispatch/tests/placement.rs
+++ b/crates/courseshed-dispatch/tests/placement.rs
@@ -3,8 +3,8 @@
 use std::{collections::BTreeMap, time::Duration};
 
 use courseshed_dispatch::placement::{
-    EngineHolding, ModelDemand, PastMove, PlacementChange, PlacementInput, PlacementMove,
-    PlacementRole, PlacementSettings, plan,
+    EngineHolding, ModelDemand, PlacementChange, PlacementInput, PlacementMove, PlacementRole,
+    PlacementSettings, RecentMove, plan,
 };
 use courseshed_types::{EngineId, ModelName, Timestamp, dispatch::EngineOrderBody};
 use proptest::prelude::*;
@@ -14,7 +14,7 @@
 fn demand(service: f64) -> ModelDemand {
     ModelDemand {
         service,
-        prefill_part: 0.4,
+        prefill_fraction: 0.4,
         weight_bytes: WEIGHTS,
         adapters: BTreeMap::new(),
     }
@@ -45,7 +45,7 @@
             .iter()
             .map(|(id, holding)| (EngineId::from(*id), holding.clone()))
             .collect(),
-        past: Vec::new(),
+        recent_moves: Vec::new(),
     }
 }
 
@@ -73,7 +73,7 @@
             }
             PlacementChange::SetRole(role) => holding.role = *role,
         }
-        input.past.push(PastMove {
+        input.recent_moves.push(RecentMove {
             at: input.now,
             bytes,
         });
@@ -162,7 +162,7 @@
         for _ in 0..20 {
             let moves = plan(&settings, &fleet);
             execute(&mut fleet, &moves);
-            let recent = fleet.past.iter().filter(|past| fleet.now.since(past.at) < settings.period);
+            let recent = fleet.recent_moves.iter().filter(|past| fleet.now.since(past.at) < settings.period);
             let (count, bytes) = recent.fold((0, 0), |(count, bytes), past| {
                 (count + 1, bytes + past.bytes)
             });
@@ -187,7 +187,7 @@
         };
         let demands = fleet.demand.iter();
         let calm: Vec<ModelName> = demands
-            .filter(|(model, demand)| demand.service * 1.2 < settings.grow_above * service(model))
+            .filter(|(model, demand)| demand.service * 1.2 < settings.scale_up_utilization * service(model))
             .map(|(model, _)| model.clone())
             .collect();
         for (number, demand) in fleet.demand.values_mut().enumerate() {
@@ -268,7 +268,7 @@
 #[test]
 fn engines_are_split_by_the_parts_of_service_and_stay_so() {
     let settings = PlacementSettings {
-        split_roles_from: Some(4),
+        min_engines_for_roles: Some(4),
         moves_per_period: 10,
         ..PlacementSettings::default()
     };
@@ -287,7 +287,7 @@
         .demand
         .get_mut(&ModelName::from("m1"))
         .expect("present");
-    of_m1.prefill_part = 0.5;
+    of_m1.prefill_fraction = 0.5;
     assert!(
         plan(&settings, &input).is_empty(),
         "2 of 5 is within the tolerance"
