--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -23,7 +23,7 @@
     state::{DemandMeter, State},
     strategy::{Sharing, Strategy},
     systems::{
-        assignment, cache_view, engine_health, expiry, intake, liveness, queueing, shedding,
+        assignment, cache_view, engine_health, expiry, liveness, queueing, requests, shedding,
     },
     tables::{
         BranchTable, CallPhase, CallTable, EngineTable, ProgramTable, ShardTable, Timer, TimerTable,
@@ -108,7 +108,7 @@
 
     /// Handles a message from a shard leader. Messages may be duplicated or delayed.
     pub fn on_request(&mut self, now: Timestamp, request: DispatchRequest) {
-        intake::take(&mut self.state, now, request);
+        requests::handle(&mut self.state, now, request);
     }
 
     /// Applies a policy snapshot; older versions are ignored. Accounting state of branches that
@@ -136,12 +136,12 @@
 
     /// Applies the engine directory, which lists the engines of all pools.
     pub fn on_engines(&mut self, now: Timestamp, engines: &[EngineMember]) {
-        engine_health::take_directory(&mut self.state, now, engines);
+        engine_health::apply_directory(&mut self.state, now, engines);
     }
 
     /// Handles a load report from an engine; reports lag behind the engine's state.
     pub fn on_engine_load(&mut self, now: Timestamp, engine: &EngineId, load: EngineLoad) {
-        engine_health::take_load(&mut self.state, now, engine, load);
+        engine_health::record_load(&mut self.state, now, engine, load);
     }
 
     /// Handles a prefix cache event from an engine. Events may be late and have gaps.
@@ -156,7 +156,7 @@
 
     /// Handles a report that an engine is unreachable.
     pub fn on_engine_unreachable(&mut self, now: Timestamp, engine: &EngineId) {
-        engine_health::unreachable(&mut self.state, now, engine);
+        engine_health::mark_unreachable(&mut self.state, now, engine);
     }
 
     /// Runs due timers, then assignment, shedding and liveness checks.
--- a/crates/courseshed-dispatch/src/systems/announcing.rs
+++ b/crates/courseshed-dispatch/src/systems/announcement.rs
@@ -3,23 +3,23 @@
 
 use courseshed_types::{CallId, ShardId, Timestamp, dispatch::DispatchEventBody};
 
-use crate::{state::State, systems::intake, tables::Timer};
+use crate::{state::State, systems::requests, tables::Timer};
 
 /// Maximum number of announcement requests to a silent shard.
-const MAX_ASKED: u32 = 5;
+const MAX_REQUESTS: u32 = 5;
 
 /// Starts the announcement timer of a new shard or a shard with a new leader.
-pub(crate) fn expect(state: &mut State, now: Timestamp, shard: ShardId) {
+pub(crate) fn start_timeout(state: &mut State, now: Timestamp, shard: ShardId) {
     let at = now + state.config.announce_grace;
     state.timers.set(at, Timer::AnnounceTimeout(shard));
 }
 
 /// Requests an announcement from a shard that has not sent one.
-pub(crate) fn ask(state: &mut State, now: Timestamp, shard: ShardId) {
+pub(crate) fn request(state: &mut State, now: Timestamp, shard: ShardId) {
     let Some(entry) = state.shards.get_mut(shard) else {
         return;
     };
-    if entry.announced || entry.announce_requests >= MAX_ASKED {
+    if entry.announced || entry.announce_requests >= MAX_REQUESTS {
         return;
     }
     entry.announce_requests += 1;
@@ -44,6 +44,6 @@
         .collect();
     for call in gone {
         state.counters.forgotten_calls += 1;
-        intake::forget_call(state, call);
+        requests::remove_call(state, call);
     }
 }
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -14,8 +14,8 @@
     state::State,
     strategy::Charging,
     systems::{
-        engine_choice, engine_choice::Closed, fairness, intake, parking, pauses, queueing, reclaim,
-        transfers,
+        engine_selection, engine_selection::Closed, fairness, parking, pauses, queueing, reclaim,
+        requests, transfers,
     },
     tables::{Assignment, CallPhase, EngineEntry, NodeIndex, Rank, Timer},
     units::Service,
@@ -33,7 +33,7 @@
         let Some((queue, call)) = fairness::next_call(&state.branches) else {
             break;
         };
-        if !engine_choice::any_room(state, now, call) {
+        if !engine_selection::any_room(state, now, call) {
             break;
         }
         if parking::park(state, now, queue, call) {
@@ -42,53 +42,53 @@
         if let Some(engine) = choose(state, now, call, &closed) {
             fairness::begin_service(&mut state.branches, queue);
             queueing::dequeue(state, call);
-            give(state, now, call, &engine);
+            assign(state, now, call, &engine);
             continue;
         }
-        keep_engine(state, now, call, &mut closed);
+        reserve_engine(state, now, call, &mut closed);
         let Some((queue, rank)) = queueing::dequeue(state, call) else {
             break;
         };
         bypassed.push((queue, rank, call));
     }
     for (queue, rank, call) in bypassed {
-        queueing::put_back(state, queue, rank, call);
+        queueing::restore(state, queue, rank, call);
     }
 }
 
 /// Selects an engine for a call, reclaiming leased memory if necessary.
 fn choose(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> Option<EngineId> {
-    let chosen = engine_choice::choose(state, now, call, closed);
+    let chosen = engine_selection::choose(state, now, call, closed);
     if chosen.is_some() || !reclaim::make_room(state, now, call, closed) {
         return chosen;
     }
-    engine_choice::choose(state, now, call, closed)
+    engine_selection::choose(state, now, call, closed)
 }
 
 /// Assigns a dequeued call to an engine.
-pub(crate) fn give(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
-    queueing::stop_waiting(state, call);
+pub(crate) fn assign(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
+    queueing::cancel_queue_timers(state, call);
     let import = transfers::import(state, call, engine);
     place(state, now, call, engine);
     match import {
         Some(wait) => transfers::set_import_timer(state, now, call, wait),
-        None => announce(state, call),
+        None => send_assignment(state, call),
     }
     state.counters.assigned += 1;
     state.drain_rate.record(now, 1.0);
 }
 
 /// Records that a call is being bypassed; after `max_bypass`, closes an engine to other calls.
-fn keep_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
-    let patience = state.config.max_bypass;
+fn reserve_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
+    let limit = state.config.max_bypass;
     let Some(entry) = state.calls.get_mut(&call) else {
         return;
     };
     let since = *entry.bypassed_since.get_or_insert(now);
-    if now.since(since) < patience {
+    if now.since(since) < limit {
         return;
     }
-    if let Some(engine) = engine_choice::roomiest(state, now, call, closed) {
+    if let Some(engine) = engine_selection::roomiest(state, now, call, closed) {
         closed.close(engine);
     }
 }
@@ -114,7 +114,7 @@
 }
 
 /// Sends a call's assignment to its shard.
-pub(crate) fn announce(state: &mut State, call: CallId) {
+pub(crate) fn send_assignment(state: &mut State, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
@@ -146,10 +146,10 @@
     };
     let engine = state.engines.get(&assignment.engine);
     if engine.is_none_or(EngineEntry::is_leaving) {
-        return intake::wait_anew(state, now, call);
+        return requests::requeue(state, now, call);
     }
     state.counters.resent += 1;
-    announce(state, call);
+    send_assignment(state, call);
     let at = now + state.config.assignment_resend;
     state.timers.set(at, Timer::Resend(call));
 }
@@ -185,8 +185,8 @@
     Assignment {
         engine: engine.clone(),
         charged: expected_charge(state, call.call, engine),
-        memory: engine_choice::needed_memory(state, call.call),
+        memory: engine_selection::needed_memory(state, call.call),
         since: now,
-        priority: engine_choice::sent_priority(state, call.call),
+        priority: engine_selection::sent_priority(state, call.call),
     }
 }
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -14,7 +14,7 @@
 };
 
 /// Applies the engine directory, which lists the engines of all pools.
-pub(crate) fn take_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
+pub(crate) fn apply_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
     let of_pool = |member: &&EngineMember| {
         member.region == state.pool.region && member.models.contains(&state.pool.model)
     };
@@ -27,17 +27,17 @@
         .filter(|id| !named.contains(id))
         .collect();
     for engine in gone {
-        parking::abandon(state, now, &engine);
+        parking::unpark_all(state, now, &engine);
         cache_view::lost(state, &engine);
         state.engines.remove(&engine);
     }
     for member in members {
-        take_member(state, now, member);
+        apply_member(state, now, member);
     }
 }
 
 /// Handles a load report.
-pub(crate) fn take_load(state: &mut State, now: Timestamp, engine: &EngineId, load: EngineLoad) {
+pub(crate) fn record_load(state: &mut State, now: Timestamp, engine: &EngineId, load: EngineLoad) {
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
@@ -48,16 +48,16 @@
 }
 
 /// Ejects an unreachable engine.
-pub(crate) fn unreachable(state: &mut State, now: Timestamp, engine: &EngineId) {
-    let needed = state.config.failures_to_eject;
+pub(crate) fn mark_unreachable(state: &mut State, now: Timestamp, engine: &EngineId) {
+    let threshold = state.config.failures_to_eject;
     if let Some(entry) = state.engines.get_mut(engine) {
-        entry.health.failures = entry.health.failures.max(needed);
+        entry.health.failures = entry.health.failures.max(threshold);
         eject(state, now, engine);
     }
 }
 
 /// Records a successful call on an engine.
-pub(crate) fn succeeded(state: &mut State, now: Timestamp, engine: &EngineId) {
+pub(crate) fn record_success(state: &mut State, now: Timestamp, engine: &EngineId) {
     if let Some(entry) = state.engines.get_mut(engine) {
         entry.health.failures = 0;
         entry.health.ejections = 0;
@@ -69,14 +69,14 @@
 }
 
 /// Records a call that failed through the engine's fault, ejecting the engine if necessary.
-pub(crate) fn failed(state: &mut State, now: Timestamp, engine: &EngineId) {
-    let needed = state.config.failures_to_eject;
+pub(crate) fn record_failure(state: &mut State, now: Timestamp, engine: &EngineId) {
+    let threshold = state.config.failures_to_eject;
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
     entry.health.failures += 1;
-    let is_on_trial = entry.slow_start_since.is_some() || entry.health.is_probing;
-    if entry.health.failures >= needed || is_on_trial {
+    let is_recovering = entry.slow_start_since.is_some() || entry.health.is_probing;
+    if entry.health.failures >= threshold || is_recovering {
         eject(state, now, engine);
     }
 }
@@ -102,7 +102,7 @@
     }
 }
 
-fn take_member(state: &mut State, now: Timestamp, member: EngineMember) {
+fn apply_member(state: &mut State, now: Timestamp, member: EngineMember) {
     let engine = member.engine.clone();
     match state.engines.get_mut(&engine) {
         None => {
--- a/crates/courseshed-dispatch/src/systems/parking.rs
+++ b/crates/courseshed-dispatch/src/systems/parking.rs
@@ -15,14 +15,14 @@
 
 use crate::{
     state::State,
-    systems::{assignment, engine_choice, fairness, queueing},
+    systems::{assignment, engine_selection, fairness, queueing},
     tables::{CallPhase, NodeIndex, Parking, Timer},
     units::Service,
 };
 
 /// Parks the next call if its cached prefix is worth the wait; returns whether it was parked.
 pub(crate) fn park(state: &mut State, now: Timestamp, queue: NodeIndex, call: CallId) -> bool {
-    let Some((engine, wait)) = worth_waiting_for(state, now, call) else {
+    let Some((engine, wait)) = parking_target(state, now, call) else {
         return false;
     };
     let charged = assignment::expected_charge(state, call, &engine);
@@ -46,53 +46,53 @@
 /// Assigns parked calls to engines that now have capacity, and requeues those of engines that
 /// accept no calls.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
-    for engine in with_parked(state) {
+    for engine in engines_with_parked(state) {
         let accepts_calls = state
             .engines
             .get(&engine)
             .is_some_and(|entry| entry.accepts_calls(now, &state.pool.model));
         match accepts_calls {
-            true => give_parked(state, now, &engine),
-            false => abandon(state, now, &engine),
+            true => assign_parked(state, now, &engine),
+            false => unpark_all(state, now, &engine),
         }
     }
 }
 
-fn give_parked(state: &mut State, now: Timestamp, engine: &EngineId) {
+fn assign_parked(state: &mut State, now: Timestamp, engine: &EngineId) {
     let has_slot = |state: &State| {
         let entry = state.engines.get(engine);
-        entry.is_some_and(|entry| engine_choice::has_slot(state, entry, now, i32::MAX))
+        entry.is_some_and(|entry| engine_selection::has_slot(state, entry, now, i32::MAX))
     };
     if !has_slot(state) {
         return;
     }
     let parked = state.engines.get(engine).map(|entry| entry.parked.clone());
     for call in parked.unwrap_or_default() {
-        if engine_choice::has_room(state, now, call, engine) {
-            take_out(state, call);
-            assignment::give(state, now, call, engine);
+        if engine_selection::has_room(state, now, call, engine) {
+            remove(state, call);
+            assignment::assign(state, now, call, engine);
         }
     }
 }
 
 /// Returns a call to its queue after the maximum wait.
-pub(crate) fn send_back(state: &mut State, now: Timestamp, call: CallId) {
-    if take_out(state, call) {
-        queueing::return_to_queue(state, now, call);
+pub(crate) fn unpark(state: &mut State, now: Timestamp, call: CallId) {
+    if remove(state, call) {
+        queueing::requeue(state, now, call);
     }
 }
 
 /// Requeues all calls parked for an engine.
-pub(crate) fn abandon(state: &mut State, now: Timestamp, engine: &EngineId) {
+pub(crate) fn unpark_all(state: &mut State, now: Timestamp, engine: &EngineId) {
     let parked = state.engines.get(engine).map(|entry| entry.parked.clone());
     for call in parked.unwrap_or_default() {
-        send_back(state, now, call);
+        unpark(state, now, call);
     }
 }
 
 /// Unparks a call and refunds its charge; false if it is not parked. The caller must set a new
 /// phase or remove the call.
-pub(crate) fn take_out(state: &mut State, call: CallId) -> bool {
+pub(crate) fn remove(state: &mut State, call: CallId) -> bool {
     let Some(entry) = state.calls.get(&call) else {
         return false;
     };
@@ -111,7 +111,7 @@
 }
 
 /// The full engine that caches the call's prefix and the maximum wait for it, if parking pays off.
-fn worth_waiting_for(state: &State, now: Timestamp, call: CallId) -> Option<(EngineId, Duration)> {
+fn parking_target(state: &State, now: Timestamp, call: CallId) -> Option<(EngineId, Duration)> {
     let entry = state.calls.get(&call)?;
     if !state.strategy.parks_calls || entry.was_parked {
         return None;
@@ -119,16 +119,16 @@
     let program = state.programs.get(&call.program)?;
     let prefix = program.prefix.as_ref()?;
     let engine = state.engines.get(&prefix.engine)?;
-    let is_full = !engine_choice::has_room(state, now, call, &prefix.engine);
-    let is_crowded = engine.parked.len() >= engine.parking_limit(&state.config);
+    let is_full = !engine_selection::has_room(state, now, call, &prefix.engine);
+    let is_at_limit = engine.parked.len() >= engine.parking_limit(&state.config);
     let is_avoided = entry.call.avoid.contains(&prefix.engine);
     let accepts_calls = engine.accepts_calls(now, &state.pool.model);
-    if !is_full || is_crowded || is_avoided || !accepts_calls {
+    if !is_full || is_at_limit || is_avoided || !accepts_calls {
         return None;
     }
-    let saved = prefix.tokens.saturating_sub(program.exported);
-    let saved = saved.min(entry.call.prompt_tokens);
-    let wait = recompute_time(state, saved).min(state.config.max_parking_wait);
+    let saved_tokens = prefix.tokens.saturating_sub(program.exported);
+    let saved_tokens = saved_tokens.min(entry.call.prompt_tokens);
+    let wait = recompute_time(state, saved_tokens).min(state.config.max_parking_wait);
     (wait >= state.config.min_parking_wait).then(|| (prefix.engine.clone(), wait))
 }
 
@@ -138,8 +138,8 @@
     Duration::from_secs_f64(tokens.0 as f64 / rate as f64)
 }
 
-fn with_parked(state: &State) -> Vec<EngineId> {
+fn engines_with_parked(state: &State) -> Vec<EngineId> {
     let engines = state.engines.iter();
-    let crowded = engines.filter(|(_, engine)| !engine.parked.is_empty());
-    crowded.map(|(id, _)| id.clone()).collect()
+    let with_parked = engines.filter(|(_, engine)| !engine.parked.is_empty());
+    with_parked.map(|(id, _)| id.clone()).collect()
 }
--- a/crates/courseshed-dispatch/src/systems/queueing.rs
+++ b/crates/courseshed-dispatch/src/systems/queueing.rs
@@ -44,33 +44,33 @@
 /// Removes a call from its queue or engine's parked calls, and from the call table.
 pub(crate) fn remove(state: &mut State, call: CallId) -> Option<CallEntry> {
     dequeue(state, call);
-    parking::take_out(state, call);
-    stop_waiting(state, call);
+    parking::remove(state, call);
+    cancel_queue_timers(state, call);
     state.timers.cancel(Timer::Resend(call));
     state.timers.cancel(Timer::ImportDone(call));
     state.calls.remove(&call)
 }
 
 /// Cancels the timers of a queued call.
-pub(crate) fn stop_waiting(state: &mut State, call: CallId) {
+pub(crate) fn cancel_queue_timers(state: &mut State, call: CallId) {
     state.timers.cancel(Timer::QueueDeadline(call));
     state.timers.cancel(Timer::Rerank(call));
 }
 
 /// Restores a call that was dequeued temporarily. The branch keeps its fair-share credit.
-pub(crate) fn put_back(state: &mut State, queue: NodeIndex, rank: Rank, call: CallId) {
+pub(crate) fn restore(state: &mut State, queue: NodeIndex, rank: Rank, call: CallId) {
     insert(state, queue, rank, call, true);
 }
 
 /// Recomputes the rank of a waiting call.
 pub(crate) fn rerank(state: &mut State, now: Timestamp, call: CallId) {
     if dequeue(state, call).is_some() {
-        return_to_queue(state, now, call);
+        requeue(state, now, call);
     }
 }
 
 /// Requeues a call with a new rank. The branch keeps its fair-share credit.
-pub(crate) fn return_to_queue(state: &mut State, now: Timestamp, call: CallId) {
+pub(crate) fn requeue(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
--- a/crates/courseshed-dispatch/src/systems/reclaim.rs
+++ b/crates/courseshed-dispatch/src/systems/reclaim.rs
@@ -5,7 +5,7 @@
 
 use crate::{
     state::State,
-    systems::{engine_choice, engine_choice::Closed, pauses},
+    systems::{engine_selection, engine_selection::Closed, pauses},
 };
 
 /// Releases leases on one engine until the call fits; false if no engine has a slot and enough
@@ -33,16 +33,16 @@
     call: CallId,
     closed: &Closed,
 ) -> Option<(EngineId, Tokens)> {
-    let memory = engine_choice::needed_memory(state, call);
-    let priority = engine_choice::sent_priority(state, call);
+    let memory = engine_selection::needed_memory(state, call);
+    let priority = engine_selection::sent_priority(state, call);
     let mut best: Option<(Tokens, EngineId)> = None;
     for (id, engine) in state.engines.iter() {
         let is_candidate =
-            closed.is_open(id) && engine_choice::has_slot(state, engine, now, priority);
+            closed.is_open(id) && engine_selection::has_slot(state, engine, now, priority);
         let Some(room) = engine.available_memory(&state.config) else {
             continue;
         };
-        let own = engine_choice::held_for(state, call, id);
+        let own = engine_selection::held_for(state, call, id);
         let missing = memory.saturating_sub(room.saturating_add(own));
         let others = engine.leased.saturating_sub(own);
         if !is_candidate || missing > others {
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/requests.rs
@@ -11,12 +11,12 @@
 use crate::{
     state::State,
     strategy::Charging,
-    systems::{announcing, assignment, cache_view, engine_health, fairness, pauses, queueing},
+    systems::{announcement, assignment, cache_view, engine_health, fairness, pauses, queueing},
     tables::{CallEntry, CallPhase, TermCheck, Timer},
     units::Service,
 };
 
-pub(crate) fn take(state: &mut State, now: Timestamp, request: DispatchRequest) {
+pub(crate) fn handle(state: &mut State, now: Timestamp, request: DispatchRequest) {
     if request.pool != state.pool {
         return;
     }
@@ -26,12 +26,12 @@
             state.counters.stale_terms += 1;
             return;
         }
-        TermCheck::New => announcing::expect(state, now, shard),
+        TermCheck::New => announcement::start_timeout(state, now, shard),
         TermCheck::Current => {}
     }
     match request.body {
         DispatchRequestBody::Enqueue(call) => enqueue(state, now, shard, call),
-        DispatchRequestBody::Withdraw(call) => forget_call(state, call),
+        DispatchRequestBody::Withdraw(call) => remove_call(state, call),
         DispatchRequestBody::Started { call, engine } => started(state, now, shard, call, engine),
         DispatchRequestBody::Finished { request, usage } => finished(state, now, request, usage),
         DispatchRequestBody::Failed {
@@ -39,42 +39,42 @@
             engine_fault,
         } => failed(state, now, request, engine_fault),
         DispatchRequestBody::ProgramEnded(program) => program_ended(state, program),
-        DispatchRequestBody::AnnounceComplete => announcing::complete(state, shard),
+        DispatchRequestBody::AnnounceComplete => announcement::complete(state, shard),
     }
 }
 
 /// Removes a call in any phase and refunds its charge.
-pub(crate) fn forget_call(state: &mut State, call: CallId) {
+pub(crate) fn remove_call(state: &mut State, call: CallId) {
     if let Some(entry) = queueing::remove(state, call) {
         settle(state, &entry, Some(Service(0)));
     }
 }
 
 /// Revokes a call's assignment and queues it again.
-pub(crate) fn wait_anew(state: &mut State, now: Timestamp, call: CallId) {
+pub(crate) fn requeue(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
     let shard = entry.shard;
     let waiting = entry.call.clone();
-    forget_call(state, call);
+    remove_call(state, call);
     insert(state, shard, waiting);
     queueing::enqueue(state, now, call);
 }
 
 fn enqueue(state: &mut State, now: Timestamp, shard: ShardId, call: Box<WaitingCall>) {
-    if !make_room(state, shard, &call) {
+    if !admit(state, shard, &call) {
         return;
     }
     let id = call.call;
-    note_return(state, now, shard, &call);
-    note_demand(state, now, &call);
+    record_resumption(state, now, shard, &call);
+    record_demand(state, now, &call);
     insert(state, shard, call);
     queueing::enqueue(state, now, id);
 }
 
 /// Records a call's expected demand, excluding cached prompt tokens.
-fn note_demand(state: &mut State, now: Timestamp, call: &WaitingCall) {
+fn record_demand(state: &mut State, now: Timestamp, call: &WaitingCall) {
     let program = state.programs.get(&call.call.program);
     let prefix = program.and_then(|program| program.prefix.as_ref());
     let cached = prefix.map_or(Tokens::ZERO, |prefix| prefix.tokens);
@@ -109,9 +109,9 @@
             state.counters.stale_attempts += 1;
             return;
         }
-        forget_call(state, known.call);
+        remove_call(state, known.call);
     }
-    note_return(state, now, shard, &call);
+    record_resumption(state, now, shard, &call);
     insert(state, shard, call);
     assignment::place(state, now, id, &engine);
     confirm_phase(state, id);
@@ -132,7 +132,7 @@
     else {
         return;
     };
-    engine_health::succeeded(state, now, &engine);
+    engine_health::record_success(state, now, &engine);
     cache_view::filled(state, request.call.program, &engine, &usage);
     let turns = entry.call.turn + 1;
     if let Some(program) = state.programs.get_mut(&request.call.program) {
@@ -160,7 +160,7 @@
         .assignment()
         .map(|assignment| assignment.engine.clone());
     if let (true, Some(engine)) = (engine_fault, engine) {
-        engine_health::failed(state, now, &engine);
+        engine_health::record_failure(state, now, &engine);
     }
 }
 
@@ -172,7 +172,7 @@
 
 /// Whether a call should be enqueued. An earlier attempt or call of its program is removed, since
 /// the program's shard must have settled it.
-fn make_room(state: &mut State, shard: ShardId, call: &WaitingCall) -> bool {
+fn admit(state: &mut State, shard: ShardId, call: &WaitingCall) -> bool {
     if has_ended(state, call) {
         state.counters.stale_attempts += 1;
         return false;
@@ -187,24 +187,24 @@
             false
         }
         Ordering::Less => {
-            forget_call(state, known.call);
+            remove_call(state, known.call);
             true
         }
         Ordering::Equal => {
-            name_again(state, shard, call.call);
+            refresh_known(state, shard, call.call);
             false
         }
     }
 }
 
 /// Refreshes a call that its shard named again, and resends its assignment in case it was lost.
-fn name_again(state: &mut State, shard: ShardId, call: CallId) {
+fn refresh_known(state: &mut State, shard: ShardId, call: CallId) {
     let generation = generation_of(state, shard);
     if let Some(known) = state.calls.get_mut(&call) {
         known.generation = generation;
         known.shard = shard;
     }
-    assignment::announce(state, call);
+    assignment::send_assignment(state, call);
 }
 
 fn insert(state: &mut State, shard: ShardId, call: Box<WaitingCall>) {
@@ -280,7 +280,7 @@
 }
 
 /// Marks a program as active again and records the length of its pause.
-fn note_return(state: &mut State, now: Timestamp, shard: ShardId, call: &WaitingCall) {
+fn record_resumption(state: &mut State, now: Timestamp, shard: ShardId, call: &WaitingCall) {
     let program = call.call.program;
     let entry = state.programs.get_or_insert(program, &call.branch, shard);
     entry.shard = shard;
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -15,9 +15,9 @@
 };
 
 /// Minimum retry delay suggested to a caller.
-const LEAST_RETRY: Duration = Duration::from_secs(1);
+const MIN_RETRY_DELAY: Duration = Duration::from_secs(1);
 /// Maximum retry delay suggested to a caller.
-const MOST_RETRY: Duration = Duration::from_secs(60);
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(60);
 
 /// Sheds calls until the queues are within their limits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
@@ -29,7 +29,7 @@
 fn shed_unservable(state: &mut State, now: Timestamp) {
     let grown = std::mem::take(&mut state.grown_queues);
     for queue in grown {
-        while let Some(call) = hopeless_call(state, now, queue) {
+        while let Some(call) = unservable_call(state, now, queue) {
             let error = CallError::not_run(
                 ErrorCode::Overloaded,
                 "the branch's queue is too long for its share of the pool to serve the call before its queue deadline",
@@ -41,16 +41,16 @@
     }
 }
 
-fn hopeless_call(state: &State, now: Timestamp, queue: NodeIndex) -> Option<CallId> {
+fn unservable_call(state: &State, now: Timestamp, queue: NodeIndex) -> Option<CallId> {
     let node = state.branches.get(queue)?;
     if node.queue.len() <= state.config.min_branch_waiting {
         return None;
     }
     let call = last_call(node)?;
-    let patience = state.calls.get(&call)?.call.give_up_at.since(now);
-    let wait = learned_wait(state, now, queue)?;
-    let hopeless = patience.as_secs_f64() * state.config.max_wait_ratio;
-    (wait > hopeless).then_some(call)
+    let remaining = state.calls.get(&call)?.call.give_up_at.since(now);
+    let wait = estimated_wait(state, now, queue)?;
+    let limit = remaining.as_secs_f64() * state.config.max_wait_ratio;
+    (wait > limit).then_some(call)
 }
 
 fn shed_overload(state: &mut State, now: Timestamp) {
@@ -69,7 +69,7 @@
 }
 
 /// Rejects a call whose queue deadline has passed.
-pub(crate) fn give_up(state: &mut State, now: Timestamp, call: CallId) {
+pub(crate) fn expire(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
@@ -94,15 +94,15 @@
 /// The last call of the queue that is longest relative to its share.
 fn worst_call(state: &State) -> Option<(NodeIndex, CallId)> {
     let least = state.config.min_branch_waiting;
-    let over =
+    let queue_per_share =
         |index: NodeIndex, waiting: usize| waiting as f64 / state.branches.entitled_share(index);
     let (index, _) = state
         .branches
         .iter()
         .filter(|(_, node)| node.queue.len() > least)
         .max_by(|(left, left_node), (right, right_node)| {
-            let left = over(*left, left_node.queue.len());
-            left.total_cmp(&over(*right, right_node.queue.len()))
+            let left = queue_per_share(*left, left_node.queue.len());
+            left.total_cmp(&queue_per_share(*right, right_node.queue.len()))
         })?;
     let call = last_call(state.branches.node(index))?;
     Some((index, call))
@@ -116,15 +116,15 @@
 /// Suggested retry delay: the time to drain the current queue.
 fn expected_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Duration {
     let part = state.calls.waiting() as f64 / state.config.max_waiting.max(1) as f64;
-    let assumed = MOST_RETRY.as_secs_f64() * part;
-    let seconds = learned_wait(state, now, queue).unwrap_or(assumed);
-    let (least, most) = (LEAST_RETRY.as_secs_f64(), MOST_RETRY.as_secs_f64());
+    let assumed = MAX_RETRY_DELAY.as_secs_f64() * part;
+    let seconds = estimated_wait(state, now, queue).unwrap_or(assumed);
+    let (least, most) = (MIN_RETRY_DELAY.as_secs_f64(), MAX_RETRY_DELAY.as_secs_f64());
     Duration::from_secs_f64(seconds.clamp(least, most))
 }
 
 /// Seconds to drain a queue at the pool's current rate and the branch's share among branches with
 /// queued calls; `None` until the rate is known.
-fn learned_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Option<f64> {
+fn estimated_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Option<f64> {
     let rate = state.drain_rate.per_second(now)?;
     let waiting = state.branches.node(queue).queue.len() as f64;
     Some(waiting / (rate * state.branches.active_share(queue)))
