--- a/crates/courseshed-dispatch/src/learn/histogram.rs
+++ b/crates/courseshed-dispatch/src/estimates/histogram.rs
@@ -1,16 +1,16 @@
-//! A histogram with logarithmic buckets whose old samples fade.
+//! Histogram with logarithmic buckets and decaying samples.
 //!
-//! A tail is off by at most one bucket, a factor of 2^(1/4). Invariants: the counts sum to `total`, and, each counted
-//! at the middle of its bucket, to `sum`.
+//! Bucket bounds grow by a factor of 2^(1/4), which bounds the error of tail weights to one bucket.
+//! Invariants: `total` is the sum of the counts, and `sum` is the sum of the counts times their
+//! bucket midpoints.
 
-/// Buckets in each doubling.
-const BUCKETS_PER_DOUBLING: f64 = 4.0;
-/// Buckets in all; covers values up to 2^30.
+const BUCKETS_PER_OCTAVE: f64 = 4.0;
+/// Number of buckets; covers values up to 2^30.
 const BUCKETS: usize = 121;
-/// When so many samples are held, all are halved, so that the newest few hundred dominate.
-const FADE_AT: f64 = 512.0;
+/// Weight at which all counts are halved, so that recent samples dominate.
+const HALVING_WEIGHT: f64 = 512.0;
 
-/// Positive values, such as milliseconds or tokens.
+/// A histogram of positive values, such as milliseconds or tokens.
 #[derive(Debug, Clone)]
 pub(crate) struct LogHistogram {
     counts: Vec<f32>,
@@ -29,56 +29,56 @@
 }
 
 impl LogHistogram {
-    /// Adds a sample; the oldest fade.
+    /// Adds a sample, halving older ones once the total weight is large enough.
     pub(crate) fn record(&mut self, value: u64) {
-        let bucket = bucket_of(value as f64);
+        let bucket = bucket_index(value as f64);
         self.counts[bucket] += 1.0;
         self.total += 1.0;
-        self.sum += middle_of(bucket);
-        if self.total >= FADE_AT {
+        self.sum += bucket_midpoint(bucket);
+        if self.total >= HALVING_WEIGHT {
             self.counts.iter_mut().for_each(|count| *count *= 0.5);
             self.total *= 0.5;
             self.sum *= 0.5;
         }
     }
 
-    /// The weight of all samples held.
+    /// Total weight of the samples.
     pub(crate) fn weight(&self) -> f64 {
         self.total
     }
 
-    /// The mean, each bucket counted at its middle; none without samples.
+    /// The mean of the bucket midpoints; `None` without samples.
     pub(crate) fn mean(&self) -> Option<f64> {
         (self.total > 0.0).then(|| self.sum / self.total)
     }
 
-    /// The weight of samples above a value.
+    /// Weight of the samples above a value.
     pub(crate) fn weight_above(&self, value: f64) -> f64 {
-        let first = bucket_of(value) + 1;
+        let first = bucket_index(value) + 1;
         self.counts[first.min(BUCKETS)..]
             .iter()
             .map(|count| f64::from(*count))
             .sum()
     }
 
-    /// The probability that a duration which has lasted `elapsed` ends within `horizon` more; none where no
-    /// sample lasted so long.
-    pub(crate) fn ends_within(&self, elapsed: f64, horizon: f64) -> Option<f64> {
-        let alive = self.weight_above(elapsed);
-        if alive < 0.5 {
+    /// Probability that a duration which has lasted `elapsed` ends within another `horizon`; `None`
+    /// if no sample lasted that long.
+    pub(crate) fn end_probability(&self, elapsed: f64, horizon: f64) -> Option<f64> {
+        let surviving = self.weight_above(elapsed);
+        if surviving < 0.5 {
             return None;
         }
-        Some(1.0 - self.weight_above(elapsed + horizon) / alive)
+        Some(1.0 - self.weight_above(elapsed + horizon) / surviving)
     }
 }
 
-fn bucket_of(value: f64) -> usize {
-    let bucket = ((value + 1.0).log2() * BUCKETS_PER_DOUBLING) as usize;
+fn bucket_index(value: f64) -> usize {
+    let bucket = ((value + 1.0).log2() * BUCKETS_PER_OCTAVE) as usize;
     bucket.min(BUCKETS - 1)
 }
 
-fn middle_of(bucket: usize) -> f64 {
-    ((bucket as f64 + 0.5) / BUCKETS_PER_DOUBLING).exp2() - 1.0
+fn bucket_midpoint(bucket: usize) -> f64 {
+    ((bucket as f64 + 0.5) / BUCKETS_PER_OCTAVE).exp2() - 1.0
 }
 
 #[cfg(test)]
@@ -96,22 +96,24 @@
     }
 
     #[test]
-    fn old_samples_fade() {
+    fn old_samples_decay() {
         let mut histogram = LogHistogram::default();
         (0..2_000).for_each(|_| histogram.record(1_000));
         (0..2_000).for_each(|_| histogram.record(10));
         assert!(histogram.mean().expect("samples") < 20.0);
-        assert!(histogram.weight() <= FADE_AT);
+        assert!(histogram.weight() <= HALVING_WEIGHT);
     }
 
     #[test]
-    fn a_long_wait_changes_the_odds() {
+    fn the_end_probability_is_conditional_on_elapsed_time() {
         let mut histogram = LogHistogram::default();
         (0..90).for_each(|_| histogram.record(100));
         (0..10).for_each(|_| histogram.record(100_000));
-        let fresh = histogram.ends_within(0.0, 1_000.0).expect("samples");
-        let waited = histogram.ends_within(2_000.0, 1_000.0).expect("samples");
+        let fresh = histogram.end_probability(0.0, 1_000.0).expect("samples");
+        let waited = histogram
+            .end_probability(2_000.0, 1_000.0)
+            .expect("samples");
         assert!(fresh > 0.85 && waited < 0.05);
-        assert_eq!(histogram.ends_within(1e9, 1.0), None);
+        assert_eq!(histogram.end_probability(1e9, 1.0), None);
     }
 }
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -1,4 +1,4 @@
-//! Answers operators' questions from the tables, without changing them.
+//! Read-only diagnostics: wait explanations and statistics.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +10,19 @@
 use crate::{
     output::{BranchStats, DispatcherStats, EngineStats, Waste},
     state::State,
-    systems::{assignment, engine_choice, fairness},
+    systems::{assignment, engine_selection, fairness},
     tables::{BranchTable, CallPhase, NodeIndex},
     units::Service,
 };
 
-/// Why a call waits.
+/// Explains why a call is queued; `None` if it is not queued.
 pub(crate) fn explain(state: &State, now: Timestamp, call: CallId) -> Option<WaitExplanation> {
     let entry = state.calls.get(&call)?;
     if !entry.is_waiting() {
         return None;
     }
     let queue = entry.queue;
-    let entitled_share = state.branches.entitled(queue);
+    let entitled_share = state.branches.entitled_share(queue);
     let attained_share = attained(&state.branches, queue);
     Some(WaitExplanation {
         call,
@@ -34,7 +34,6 @@
     })
 }
 
-/// Everything for operators.
 pub(crate) fn stats(state: &State, now: Timestamp) -> DispatcherStats {
     let waiting = state.calls.waiting();
     DispatcherStats {
@@ -48,7 +47,8 @@
     }
 }
 
-/// The call's place, by playing the order out on a copy of the tree with the charges that are expected.
+/// Position of the call in the scheduling order, found by simulating the order with expected
+/// charges on a copy of the tree.
 fn position(state: &State, call: CallId) -> u32 {
     let is_queued = state
         .calls
@@ -73,7 +73,7 @@
     place
 }
 
-/// What a call will be charged if it finds its prefix.
+/// The expected charge of a call, assuming it finds its prefix cached.
 fn expected_charge(state: &State, call: CallId) -> Service {
     let program = state.programs.get(&call.program);
     let prefix = program.and_then(|program| program.prefix.as_ref());
@@ -81,18 +81,18 @@
     assignment::expected_service(state, call, cached)
 }
 
-/// The branch's part of the service given lately.
+/// The branch's fraction of recently charged service.
 fn attained(tree: &BranchTable, index: NodeIndex) -> f64 {
     let pool = tree.node(NodeIndex::ROOT);
-    let all = pool.recent.at(pool.served);
-    let own = tree.node(index).recent.at(pool.served);
+    let all = pool.recent.value_at(pool.served);
+    let own = tree.node(index).recent.value_at(pool.served);
     (own / all.max(1.0)).clamp(0.0, 1.0)
 }
 
 fn reason(state: &State, now: Timestamp, call: CallId, entitled: f64, attained: f64) -> String {
     if let Some(CallPhase::Parked(parking)) = state.calls.get(&call).map(|entry| &entry.phase) {
         let engine = &parking.engine;
-        return format!("the call waits a moment for engine {engine}, which holds its prefix");
+        return format!("the call waits for engine {engine}, which caches its prefix");
     }
     let live = |state_of: EngineState| state_of == EngineState::Live;
     if !state
@@ -103,31 +103,35 @@
         return "no live engine serves the model".to_string();
     }
     if now < state.grace_until {
-        return "the dispatcher has just started and learns what runs".to_string();
+        return "the dispatcher has just started and is waiting for announcements and load reports"
+            .to_string();
     }
-    if engine_choice::any_room(state, now, call) {
-        return "engines have free slots but not the memory this call needs".to_string();
+    if engine_selection::any_room(state, now, call) {
+        return "engines have free slots but not enough KV memory for this call".to_string();
     }
     if attained > entitled {
-        return "all engines are full and the branch has had more than its share of late"
+        return "all engines are full and the branch has recently used more than its share"
             .to_string();
     }
-    "all engines are full and calls before it in the order wait too".to_string()
+    "all engines are full and other calls are ahead in the queue".to_string()
 }
 
 fn branch_stats(state: &State) -> Vec<BranchStats> {
     let mut waiting: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     for (index, node) in state.branches.iter() {
-        for above in state.branches.path_up(index) {
+        for above in state.branches.path_to_root(index) {
             *waiting.entry(above).or_default() += node.queue.len();
         }
     }
     let of_node = |(index, node): (NodeIndex, &crate::tables::BranchNode)| {
-        let account = state.caches.get(&node.path).filter(|_| !node.is_own_queue);
+        let account = state
+            .cache_accounts
+            .get(&node.path)
+            .filter(|_| !node.is_own_queue);
         BranchStats {
             branch: node.path.clone(),
             own_queue: node.is_own_queue,
-            entitled_share: state.branches.entitled(index),
+            entitled_share: state.branches.entitled_share(index),
             served: node.served,
             waiting: waiting.get(&index).copied().unwrap_or(0),
             cached_tokens: account.map_or(0, |account| account.cached),
@@ -145,7 +149,7 @@
         let entry = EngineStats {
             engine: id.clone(),
             state: engine.member.state,
-            takes_work: engine.takes_work(now, &state.pool.model),
+            takes_work: engine.accepts_calls(now, &state.pool.model),
             ejected_until: engine.health.ejected_until,
             in_flight: engine.in_flight,
             call_limit: engine.call_limit(&state.config, now),
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -1,7 +1,9 @@
-//! Gives waiting calls to engines while there is room: decided as late as engines stay full.
+//! Assigns queued calls to engines with capacity. Calls stay queued while all engines are full, so
+//! that decisions are made as late as possible.
 //!
-//! A call that no engine has the memory for first takes memory back from paused programs; then smaller calls pass
-//! it, but not for ever: after a while one engine is kept free of other calls until it fits there.
+//! A call for which no engine has enough memory first reclaims memory leased by paused programs. If
+//! that does not help, smaller calls may bypass it for a limited time; then an engine is reserved
+//! for it until it fits.
 
 use courseshed_types::{
     CallId, EngineId, Timestamp, Tokens,
@@ -9,29 +11,29 @@
 };
 
 use crate::{
-    baselines::Charging,
     state::State,
+    strategy::Charging,
     systems::{
-        engine_choice, engine_choice::Closed, fairness, intake, parking, pauses, queueing, reclaim,
-        transfers,
+        engine_selection, engine_selection::Closed, fairness, parking, pauses, queueing, reclaim,
+        requests, transfers,
     },
-    tables::{CallPhase, EngineEntry, NodeIndex, Placement, Rank, Timer},
+    tables::{Assignment, CallPhase, EngineEntry, NodeIndex, Rank, Timer},
     units::Service,
 };
 
-/// Calls that fit no engine now and are passed over in one run.
-const MAX_PASSED_OVER: usize = 8;
+/// Maximum number of calls that may be bypassed in one run because they fit on no engine.
+const MAX_BYPASSED: usize = 8;
 
-/// Assigns calls until no engine has room or no call is left that fits.
+/// Assigns calls until no engine has a slot or no remaining call fits.
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     parking::run(state, now);
-    let mut passed_over: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
+    let mut bypassed: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
     let mut closed = Closed::default();
-    while passed_over.len() < MAX_PASSED_OVER {
+    while bypassed.len() < MAX_BYPASSED {
         let Some((queue, call)) = fairness::next_call(&state.branches) else {
             break;
         };
-        if !engine_choice::any_room(state, now, call) {
+        if !engine_selection::any_room(state, now, call) {
             break;
         }
         if parking::park(state, now, queue, call) {
@@ -40,145 +42,151 @@
         if let Some(engine) = choose(state, now, call, &closed) {
             fairness::begin_service(&mut state.branches, queue);
             queueing::dequeue(state, call);
-            give(state, now, call, &engine);
+            assign(state, now, call, &engine);
             continue;
         }
-        keep_engine(state, now, call, &mut closed);
+        reserve_engine(state, now, call, &mut closed);
         let Some((queue, rank)) = queueing::dequeue(state, call) else {
             break;
         };
-        passed_over.push((queue, rank, call));
+        bypassed.push((queue, rank, call));
     }
-    for (queue, rank, call) in passed_over {
-        queueing::put_back(state, queue, rank, call);
+    for (queue, rank, call) in bypassed {
+        queueing::restore(state, queue, rank, call);
     }
 }
 
-/// The engine for a call, with memory taken back from paused programs if nothing else helps.
+/// Selects an engine for a call, reclaiming leased memory if necessary.
 fn choose(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> Option<EngineId> {
-    let chosen = engine_choice::choose(state, now, call, closed);
+    let chosen = engine_selection::choose(state, now, call, closed);
     if chosen.is_some() || !reclaim::make_room(state, now, call, closed) {
         return chosen;
     }
-    engine_choice::choose(state, now, call, closed)
+    engine_selection::choose(state, now, call, closed)
 }
 
-/// Gives a call that is in no queue any more to an engine.
-pub(crate) fn give(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
-    queueing::stop_waiting(state, call);
+/// Assigns a dequeued call to an engine.
+pub(crate) fn assign(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
+    queueing::cancel_queue_timers(state, call);
     let import = transfers::import(state, call, engine);
     place(state, now, call, engine);
     match import {
         Some(wait) => transfers::set_import_timer(state, now, call, wait),
-        None => announce(state, call),
+        None => send_assignment(state, call),
     }
     state.counters.assigned += 1;
     state.drain_rate.record(now, 1.0);
 }
 
-/// Notes that a call is passed over; if it has been for long, closes an engine to the calls after it.
-fn keep_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
-    let patience = state.config.pass_over;
+/// Records that a call is being bypassed; after `max_bypass`, closes an engine to other calls.
+fn reserve_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
+    let limit = state.config.max_bypass;
     let Some(entry) = state.calls.get_mut(&call) else {
         return;
     };
-    let since = *entry.passed_over_since.get_or_insert(now);
-    if now.since(since) < patience {
+    let since = *entry.bypassed_since.get_or_insert(now);
+    if now.since(since) < limit {
         return;
     }
-    if let Some(engine) = engine_choice::roomiest(state, now, call, closed) {
+    if let Some(engine) = engine_selection::roomiest(state, now, call, closed) {
         closed.close(engine);
     }
 }
 
-/// Accounts for a call on an engine: its room, its charge, its program's lease.
+/// Accounts for a call on an engine: slot, memory, charge, and the end of its program's lease.
 pub(crate) fn place(state: &mut State, now: Timestamp, call: CallId, engine: &EngineId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
     let queue = entry.queue;
-    let placement = estimate(state, &entry.call, engine, now);
+    let assignment = estimate(state, &entry.call, engine, now);
     pauses::resume(state, call.program);
     if let Some(engine) = state.engines.get_mut(engine) {
-        engine.add_call(placement.memory, placement.priority);
+        engine.add_call(assignment.memory, assignment.priority);
     }
     let warp = state.config.warp_per_priority;
-    fairness::charge(&mut state.branches, queue, placement.charged, warp);
+    fairness::charge(&mut state.branches, queue, assignment.charged, warp);
     let resend_at = now + state.config.assignment_resend;
     state.timers.set(resend_at, Timer::Resend(call));
-    state.calls.set_phase(&call, CallPhase::Assigned(placement));
+    state
+        .calls
+        .set_phase(&call, CallPhase::Assigned(assignment));
 }
 
-/// Tells the shard where a call that was assigned shall run.
-pub(crate) fn announce(state: &mut State, call: CallId) {
+/// Sends a call's assignment to its shard.
+pub(crate) fn send_assignment(state: &mut State, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    let CallPhase::Assigned(placement) = &entry.phase else {
+    let CallPhase::Assigned(assignment) = &entry.phase else {
         return;
     };
-    let Some(engine) = state.engines.get(&placement.engine) else {
+    let Some(engine) = state.engines.get(&assignment.engine) else {
         return;
     };
     let body = DispatchEventBody::Assigned {
         call,
         attempt: entry.call.attempt,
-        engine: placement.engine.clone(),
+        engine: assignment.engine.clone(),
         engine_address: engine.member.address.clone(),
-        priority: placement.priority,
+        priority: assignment.priority,
     };
     let shard = entry.shard;
-    state.say(shard, body);
+    state.send_event(shard, body);
 }
 
-/// Sends an assignment again that was not confirmed; one to an engine that has begun to leave is taken back, and
-/// its call waits anew. Should the shard have taken the first one after all, it says where the call runs.
+/// Resends an unconfirmed assignment. If the engine is draining, the assignment is revoked and the
+/// call queued again; a shard that had committed the first assignment reports so in `Started`.
 pub(crate) fn resend(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    let CallPhase::Assigned(placement) = &entry.phase else {
+    let CallPhase::Assigned(assignment) = &entry.phase else {
         return;
     };
-    let engine = state.engines.get(&placement.engine);
+    let engine = state.engines.get(&assignment.engine);
     if engine.is_none_or(EngineEntry::is_leaving) {
-        return intake::wait_anew(state, now, call);
+        return requests::requeue(state, now, call);
     }
     state.counters.resent += 1;
-    announce(state, call);
+    send_assignment(state, call);
     let at = now + state.config.assignment_resend;
     state.timers.set(at, Timer::Resend(call));
 }
 
-/// The service a call is expected to take on an engine.
+/// Expected service of a call on an engine.
 pub(crate) fn expected_charge(state: &State, call: CallId, engine: &EngineId) -> Service {
     let program = state.programs.get(&call.program);
     let cached = program.map_or(Tokens::ZERO, |program| program.cached_on(engine));
     expected_service(state, call, cached)
 }
 
-/// The service a call is expected to take where so many tokens of its prompt are cached.
+/// Expected service of a call when `cached` tokens of its prompt are cached.
 pub(crate) fn expected_service(state: &State, call: CallId, cached: Tokens) -> Service {
     let Some(entry) = state.calls.get(&call) else {
         return Service(1);
     };
     let call = &entry.call;
-    let output = state.shapes.expected_output(&call.branch, call.max_output);
+    let output = state
+        .workload
+        .expected_output(&call.branch, call.max_output);
     match state.strategy.charging {
         Charging::Service => {
             let uncached = call.prompt_tokens.saturating_sub(cached);
-            Service::weigh(&state.config, uncached, output)
+            Service::weighted(&state.config, uncached, output)
+        }
+        Charging::VirtualTokens => {
+            Service::weighted(&state.config, call.prompt_tokens, Tokens::ZERO)
         }
-        Charging::VirtualTokens => Service::weigh(&state.config, call.prompt_tokens, Tokens::ZERO),
     }
 }
 
-fn estimate(state: &State, call: &WaitingCall, engine: &EngineId, now: Timestamp) -> Placement {
-    Placement {
+fn estimate(state: &State, call: &WaitingCall, engine: &EngineId, now: Timestamp) -> Assignment {
+    Assignment {
         engine: engine.clone(),
         charged: expected_charge(state, call.call, engine),
-        memory: engine_choice::needed_memory(state, call.call),
+        memory: engine_selection::needed_memory(state, call.call),
         since: now,
-        priority: engine_choice::sent_priority(state, call.call),
+        priority: engine_selection::sent_priority(state, call.call),
     }
 }
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -1,4 +1,4 @@
-//! Engines join, leave, report, fail, are ejected for a while and come back slowly.
+//! Engine membership, load reports, outlier ejection and slow start.
 
 use std::collections::BTreeSet;
 
@@ -13,8 +13,8 @@
     tables::{EngineEntry, Timer},
 };
 
-/// Takes the list of engines over; it names all engines, those of other pools too.
-pub(crate) fn take_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
+/// Applies the engine directory, which lists the engines of all pools.
+pub(crate) fn apply_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
     let of_pool = |member: &&EngineMember| {
         member.region == state.pool.region && member.models.contains(&state.pool.model)
     };
@@ -27,37 +27,37 @@
         .filter(|id| !named.contains(id))
         .collect();
     for engine in gone {
-        parking::abandon(state, now, &engine);
+        parking::unpark_all(state, now, &engine);
         cache_view::lost(state, &engine);
         state.engines.remove(&engine);
     }
     for member in members {
-        take_member(state, now, member);
+        apply_member(state, now, member);
     }
 }
 
-/// Takes a load report over.
-pub(crate) fn take_load(state: &mut State, now: Timestamp, engine: &EngineId, load: EngineLoad) {
+/// Handles a load report.
+pub(crate) fn record_load(state: &mut State, now: Timestamp, engine: &EngineId, load: EngineLoad) {
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
-    if entry.take_report(now, load) {
+    if entry.record_report(now, load) {
         begin_slow_start(state, now, engine);
         cache_view::lost(state, engine);
     }
 }
 
-/// The engine can't be reached: it is ejected at once.
-pub(crate) fn unreachable(state: &mut State, now: Timestamp, engine: &EngineId) {
-    let needed = state.config.failures_to_eject;
+/// Ejects an unreachable engine.
+pub(crate) fn mark_unreachable(state: &mut State, now: Timestamp, engine: &EngineId) {
+    let threshold = state.config.failures_to_eject;
     if let Some(entry) = state.engines.get_mut(engine) {
-        entry.health.failures = entry.health.failures.max(needed);
+        entry.health.failures = entry.health.failures.max(threshold);
         eject(state, now, engine);
     }
 }
 
-/// A call ended well there.
-pub(crate) fn succeeded(state: &mut State, now: Timestamp, engine: &EngineId) {
+/// Records a successful call on an engine.
+pub(crate) fn record_success(state: &mut State, now: Timestamp, engine: &EngineId) {
     if let Some(entry) = state.engines.get_mut(engine) {
         entry.health.failures = 0;
         entry.health.ejections = 0;
@@ -68,20 +68,20 @@
     }
 }
 
-/// A call failed there by the engine's fault.
-pub(crate) fn failed(state: &mut State, now: Timestamp, engine: &EngineId) {
-    let needed = state.config.failures_to_eject;
+/// Records a call that failed through the engine's fault, ejecting the engine if necessary.
+pub(crate) fn record_failure(state: &mut State, now: Timestamp, engine: &EngineId) {
+    let threshold = state.config.failures_to_eject;
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
     entry.health.failures += 1;
-    let is_on_trial = entry.warming_since.is_some() || entry.health.is_probing;
-    if entry.health.failures >= needed || is_on_trial {
+    let is_recovering = entry.slow_start_since.is_some() || entry.health.is_probing;
+    if entry.health.failures >= threshold || is_recovering {
         eject(state, now, engine);
     }
 }
 
-/// An ejection ended or slow start went on.
+/// Handles an engine timer: ends an ejection or advances slow start.
 pub(crate) fn recheck(state: &mut State, now: Timestamp, engine: &EngineId) {
     let slow_start = state.config.slow_start;
     let Some(entry) = state.engines.get_mut(engine) else {
@@ -92,17 +92,17 @@
         entry.health.is_probing = true;
         return;
     }
-    let Some(since) = entry.warming_since else {
+    let Some(since) = entry.slow_start_since else {
         return;
     };
     if now >= since + slow_start {
-        entry.warming_since = None;
+        entry.slow_start_since = None;
     } else {
-        set_warming_timer(state, now, engine);
+        set_slow_start_timer(state, now, engine);
     }
 }
 
-fn take_member(state: &mut State, now: Timestamp, member: EngineMember) {
+fn apply_member(state: &mut State, now: Timestamp, member: EngineMember) {
     let engine = member.engine.clone();
     match state.engines.get_mut(&engine) {
         None => {
@@ -125,12 +125,12 @@
     }
 }
 
-/// Counts calls that were placed on an engine before it was listed.
+/// Accounts for calls that were placed on an engine before it was listed.
 fn adopt_calls(state: &State, entry: &mut EngineEntry) {
     for (_, call) in state.calls.iter() {
-        match call.placement() {
-            Some(placement) if placement.engine == entry.member.engine => {
-                entry.add_call(placement.memory, placement.priority);
+        match call.assignment() {
+            Some(assignment) if assignment.engine == entry.member.engine => {
+                entry.add_call(assignment.memory, assignment.priority);
             }
             _ => {}
         }
@@ -150,20 +150,24 @@
     entry.health.ejections += 1;
     entry.health.ejected_until = Some(until);
     entry.health.is_probing = false;
-    entry.warming_since = None;
+    entry.slow_start_since = None;
     state.counters.ejections += 1;
-    state.timers.set(until, Timer::Engine(engine.clone()));
+    state
+        .timers
+        .set(until, Timer::EngineRecheck(engine.clone()));
 }
 
 fn begin_slow_start(state: &mut State, now: Timestamp, engine: &EngineId) {
     if let Some(entry) = state.engines.get_mut(engine) {
-        entry.warming_since = Some(now);
-        set_warming_timer(state, now, engine);
+        entry.slow_start_since = Some(now);
+        set_slow_start_timer(state, now, engine);
     }
 }
 
-/// Slow start is looked at again in a tenth of its time.
-fn set_warming_timer(state: &mut State, now: Timestamp, engine: &EngineId) {
+/// Schedules the next slow-start step, a tenth of the slow-start time.
+fn set_slow_start_timer(state: &mut State, now: Timestamp, engine: &EngineId) {
     let step = state.config.slow_start / 10;
-    state.timers.set(now + step, Timer::Engine(engine.clone()));
+    state
+        .timers
+        .set(now + step, Timer::EngineRecheck(engine.clone()));
 }
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -1,10 +1,12 @@
-//! What happens to a program's prefix while its tools are at work.
+//! Lease management for the prefixes of programs that pause between calls, for example during tool
+//! use.
 //!
-//! The prefix is held by a lease while the chance that it is used soon is worth the memory, else copied out of the
-//! engine or left to be evicted ([`decision`]). The hazard of the learned pause distribution (the best chance of a
-//! return per second, over several horizons) is compared with a price per second that rises with the engine's memory
-//! pressure. A lease is kept on while the next call waits. Invariants: only known programs without a call on an
-//! engine have leases; what an engine's entry and a branch's account count as leased is the sum over programs.
+//! A prefix is leased while the probability of early reuse justifies the memory; otherwise it is
+//! exported or left to eviction ([`decision`]). The hazard rate of the estimated pause distribution
+//! (the highest probability of resumption per second over several horizons) is compared with a
+//! price per second that rises with the engine's memory pressure. A lease is kept while the
+//! program's next call is queued. Invariants: only known programs without a call on an engine have
+//! leases; the leased tokens of engines and branches are the sums over their programs.
 
 mod decision;
 
@@ -22,32 +24,32 @@
 
 use decision::{CopyState, PauseDecision, PauseOutlook, decide};
 
-/// Horizons over which a return is weighed.
+/// Horizons over which the probability of resumption is evaluated, in seconds.
 const HORIZONS_SECONDS: [u64; 7] = [1, 2, 5, 10, 30, 90, 300];
-/// Chance that a program goes on, before anything was learned.
+/// Probability of another call assumed before any sample is recorded.
 const ASSUMED_GOES_ON: f64 = 0.75;
-/// Returns per second expected of a pause before anything was learned.
+/// Resumption rate per second assumed before any sample is recorded.
 const ASSUMED_HAZARD: f64 = 0.05;
-/// Price of holding an idle engine's memory: one return in so many seconds pays.
+/// Price of holding memory on an idle engine: one resumption in 300 seconds breaks even.
 const IDLE_PRICE: f64 = 1.0 / 300.0;
-/// Price of holding a full engine's memory.
+/// Price of holding memory on a full engine.
 const FULL_PRICE: f64 = 1.0 / 3.0;
-/// Part of the memory in use up to which the idle price holds.
+/// Memory utilization up to which the idle price applies.
 const PRESSURE_FROM: f64 = 0.5;
 
-/// A program's call ended: its prefix is held or not, and the program is forgotten if it never returns.
+/// Starts a pause after a program's call has finished.
 pub(crate) fn begin(state: &mut State, now: Timestamp, program: ProgramId) {
     remember(state, now, program);
     review(state, now, program);
 }
 
-/// Keeps a program from being forgotten for a while.
+/// Restarts the timer after which an idle program is dropped.
 pub(crate) fn remember(state: &mut State, now: Timestamp, program: ProgramId) {
-    let forget_at = now + state.config.forget_program;
-    state.timers.set(forget_at, Timer::Forget(program));
+    let forget_at = now + state.config.program_idle_timeout;
+    state.timers.set(forget_at, Timer::ProgramIdle(program));
 }
 
-/// Forgets a program that was silent for longer than any program may pause, unless a call of it is known.
+/// Drops a program that has been idle too long, unless one of its calls is known.
 pub(crate) fn forget(state: &mut State, now: Timestamp, program: ProgramId) {
     if state.calls.of_program(program).is_some() {
         remember(state, now, program);
@@ -56,9 +58,9 @@
     }
 }
 
-/// Decides again whether a paused program's prefix is held, and renews its lease.
+/// Decides again whether to keep a paused program's lease, and renews or releases it.
 pub(crate) fn review(state: &mut State, now: Timestamp, program: ProgramId) {
-    if !state.strategy.holds_prefixes {
+    if !state.strategy.leases_prefixes {
         return;
     }
     let Some(engine) = held_on(state, program) else {
@@ -70,36 +72,36 @@
         PauseDecision::Export => {
             renew(state, now, program, engine);
             let done_at = transfers::export(state, now, program);
-            state.timers.set(done_at, Timer::Hold(program));
+            state.timers.set(done_at, Timer::LeaseReview(program));
         }
     }
 }
 
-/// The program makes a call again: the memory is the call's now.
+/// Ends a program's lease when its next call is placed.
 pub(crate) fn resume(state: &mut State, program: ProgramId) {
     unlease(state, program);
 }
 
-/// The program is over: its prefix is useless, and it is known no more.
+/// Removes a program that has ended and releases its prefix.
 pub(crate) fn end(state: &mut State, program: ProgramId) -> Option<ProgramEntry> {
     unlease(state, program);
     transfers::forget_copy(state, program);
-    state.timers.cancel(Timer::Forget(program));
+    state.timers.cancel(Timer::ProgramIdle(program));
     let entry = state.programs.remove(&program)?;
     let Some(prefix) = &entry.prefix else {
         return Some(entry);
     };
     cache_view::recount(state, &entry.branch, prefix.tokens, Tokens::ZERO);
     state.cache_account(&entry.branch).waste.abandoned += prefix.unused.0;
-    if state.strategy.holds_prefixes {
+    if state.strategy.leases_prefixes {
         state.counters.leases_released += 1;
         let engine = prefix.engine.clone();
-        state.order(engine, EngineOrderBody::ReleaseLease { program });
+        state.send_order(engine, EngineOrderBody::ReleaseLease { program });
     }
     Some(entry)
 }
 
-/// Takes a program's lease out of the accounts; true if it had one.
+/// Removes a program's lease from the accounting; returns whether it had one.
 pub(crate) fn unlease(state: &mut State, program: ProgramId) -> bool {
     let Some(entry) = state.programs.get_mut(&program) else {
         return false;
@@ -110,18 +112,18 @@
     };
     let had_lease = prefix.leased_until.take().is_some();
     if had_lease {
-        state.timers.cancel(Timer::Hold(program));
+        state.timers.cancel(Timer::LeaseReview(program));
     }
     let tokens = std::mem::take(&mut prefix.leased_tokens);
     if let Some(engine) = state.engines.get_mut(&prefix.engine) {
         engine.leased = engine.leased.saturating_sub(tokens);
-        engine.lessees.remove(&program);
+        engine.leased_programs.remove(&program);
     }
     state.remove_leased(&branch, tokens);
     had_lease
 }
 
-/// Gives a program's lease up; the engine may evict the prefix when it needs the memory.
+/// Releases a program's lease, so that the engine may evict the prefix.
 pub(crate) fn release(state: &mut State, program: ProgramId) {
     if !unlease(state, program) {
         return;
@@ -134,10 +136,10 @@
         return;
     };
     state.counters.leases_released += 1;
-    state.order(engine, EngineOrderBody::ReleaseLease { program });
+    state.send_order(engine, EngineOrderBody::ReleaseLease { program });
 }
 
-/// The engine lists no lease of the program: it ran out or was broken. What it is worth is decided again.
+/// Handles a lease that the engine no longer lists because it expired or was broken.
 pub(crate) fn lease_lost(state: &mut State, now: Timestamp, program: ProgramId) {
     if unlease(state, program) {
         state.counters.leases_lost += 1;
@@ -145,7 +147,7 @@
     }
 }
 
-/// The engine holds fewer tokens by the program's lease than was asked for.
+/// Corrects a lease for which the engine lists fewer tokens than requested.
 pub(crate) fn lease_shrank(state: &mut State, program: ProgramId, held: Tokens) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
@@ -178,7 +180,7 @@
     let tokens = prefix.tokens;
     if let Some(engine) = state.engines.get_mut(&engine) {
         engine.leased = engine.leased.saturating_add(tokens);
-        engine.lessees.insert(program);
+        engine.leased_programs.insert(program);
     }
     state.add_leased(&branch, tokens);
     state.counters.leases_renewed += 1;
@@ -187,13 +189,14 @@
         program,
         time_to_live,
     };
-    state.order(engine, body);
+    state.send_order(engine, body);
     state
         .timers
-        .set(now + time_to_live / 2, Timer::Hold(program));
+        .set(now + time_to_live / 2, Timer::LeaseReview(program));
 }
 
-/// The engine that holds the prefix of a program that is paused, or whose next call waits while a lease holds.
+/// The engine with the prefix of a program that is paused, or whose next call is queued while a
+/// lease is held.
 fn held_on(state: &State, program: ProgramId) -> Option<EngineId> {
     let entry = state.programs.get(&program)?;
     let prefix = entry.prefix.as_ref()?;
@@ -213,7 +216,7 @@
     else {
         return PauseDecision::Drop;
     };
-    if !holder.takes_work(now, &state.pool.model) {
+    if !holder.accepts_calls(now, &state.pool.model) {
         return PauseDecision::Drop;
     }
     let Some(since) = entry.paused_since else {
@@ -258,8 +261,8 @@
     }
 }
 
-/// Returns per second expected of a program: the best chance over several horizons. A program whose next call
-/// waits already is sure to return.
+/// Expected resumptions per second: the highest rate over several horizons. A program whose next
+/// call is already queued is certain to resume.
 pub(crate) fn expected_use(state: &State, now: Timestamp, program: ProgramId) -> f64 {
     let Some(entry) = state.programs.get(&program) else {
         return 0.0;
@@ -272,34 +275,36 @@
         .iter()
         .map(|seconds| {
             let horizon = Duration::from_secs(*seconds);
-            let returns = state.shapes.returns_within(&entry.branch, elapsed, horizon);
+            let returns = state
+                .workload
+                .resume_probability_within(&entry.branch, elapsed, horizon);
             returns.map_or(ASSUMED_HAZARD, |chance| chance / *seconds as f64)
         })
         .fold(0.0, f64::max);
     returns_at_all(state, now, entry) * hazard
 }
 
-/// The chance that a paused program makes another call: by its turns so far, less the longer it stays away
-/// compared with programs that came back.
+/// Probability that a paused program makes another call, given its calls so far and how long it has
+/// been paused.
 fn returns_at_all(state: &State, now: Timestamp, entry: &ProgramEntry) -> f64 {
     let goes_on = state
-        .shapes
-        .goes_on_after(&entry.branch, entry.turns)
+        .workload
+        .continue_probability(&entry.branch, entry.turns)
         .unwrap_or(ASSUMED_GOES_ON);
     let elapsed = entry
         .paused_since
         .map_or(Duration::ZERO, |since| now.since(since));
     let still_away = state
-        .shapes
-        .lasts_longer(&entry.branch, elapsed)
+        .workload
+        .pause_survival(&entry.branch, elapsed)
         .unwrap_or(1.0);
     let returns_later = goes_on * still_away;
     returns_later / (returns_later + 1.0 - goes_on).max(f64::MIN_POSITIVE)
 }
 
-/// How much the engine's memory, or the branch's part of the pool's, is wanted: 0 to 1.
+/// Memory pressure on an engine, 0 to 1; 1 if the program's branch exceeds its cache share.
 fn pressure_on(state: &State, entry: &ProgramEntry, engine: &EngineEntry) -> f64 {
-    let Some(size) = engine.memory_size() else {
+    let Some(size) = engine.memory_capacity() else {
         return 0.0;
     };
     if over_cache_share(state, entry, size) {
@@ -314,11 +319,15 @@
     ((used - PRESSURE_FROM) / (1.0 - PRESSURE_FROM)).clamp(0.0, 1.0)
 }
 
-/// Whether the program's branch, or one above it, holds more of the pool's memory by leases than its cache share.
+/// Whether the program's branch or an ancestor has more leased memory than its cache share of the
+/// pool.
 fn over_cache_share(state: &State, entry: &ProgramEntry, engine_size: Tokens) -> bool {
     let memory = state.engines.len() as f64 * engine_size.0 as f64;
     let is_over = |path: BranchPath| {
-        let held = state.caches.get(&path).map_or(0, |account| account.leased);
+        let held = state
+            .cache_accounts
+            .get(&path)
+            .map_or(0, |account| account.leased);
         let policy = state.policy.branches.get(&path);
         let share = policy.map_or(1.0, |policy| policy.cache_share);
         held as f64 > share * memory
--- a/crates/courseshed-dispatch/src/systems/reclaim.rs
+++ b/crates/courseshed-dispatch/src/systems/reclaim.rs
@@ -1,14 +1,15 @@
-//! Takes memory back from paused programs when a call that waits needs it: the leases least likely to be used
-//! soon go first.
+//! Reclaims memory leased by paused programs for queued calls, starting with the leases least
+//! likely to be used soon.
 
 use courseshed_types::{CallId, EngineId, ProgramId, Timestamp, Tokens};
 
 use crate::{
     state::State,
-    systems::{engine_choice, engine_choice::Closed, pauses},
+    systems::{engine_selection, engine_selection::Closed, pauses},
 };
 
-/// Gives leases up on one engine until the call fits there; false if no engine has a slot and enough leased memory.
+/// Releases leases on one engine until the call fits; false if no engine has a slot and enough
+/// leased memory.
 pub(crate) fn make_room(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> bool {
     let Some((engine, missing)) = cheapest(state, now, call, closed) else {
         return false;
@@ -25,23 +26,23 @@
     true
 }
 
-/// The engine on which the fewest leased tokens have to be given up for the call, and how many.
+/// The engine on which the fewest leased tokens must be released for the call, and how many.
 fn cheapest(
     state: &State,
     now: Timestamp,
     call: CallId,
     closed: &Closed,
 ) -> Option<(EngineId, Tokens)> {
-    let memory = engine_choice::needed_memory(state, call);
-    let priority = engine_choice::sent_priority(state, call);
+    let memory = engine_selection::needed_memory(state, call);
+    let priority = engine_selection::sent_priority(state, call);
     let mut best: Option<(Tokens, EngineId)> = None;
     for (id, engine) in state.engines.iter() {
         let is_candidate =
-            closed.is_open(id) && engine_choice::has_slot(state, engine, now, priority);
-        let Some(room) = engine.memory_room(&state.config) else {
+            closed.is_open(id) && engine_selection::has_slot(state, engine, now, priority);
+        let Some(room) = engine.available_memory(&state.config) else {
             continue;
         };
-        let own = engine_choice::held_for(state, call, id);
+        let own = engine_selection::held_for(state, call, id);
         let missing = memory.saturating_sub(room.saturating_add(own));
         let others = engine.leased.saturating_sub(own);
         if !is_candidate || missing > others {
@@ -54,7 +55,7 @@
     best.map(|(missing, engine)| (engine, missing))
 }
 
-/// Paused programs with a lease on the engine, the least likely to come back soon first.
+/// Paused programs with a lease on the engine, least likely to resume first.
 fn least_useful(
     state: &State,
     now: Timestamp,
@@ -65,7 +66,7 @@
         return Vec::new();
     };
     let mut programs: Vec<(f64, ProgramId)> = entry
-        .lessees
+        .leased_programs
         .iter()
         .filter(|program| **program != except)
         .map(|program| (pauses::expected_use(state, now, *program), *program))
--- a/crates/courseshed-dispatch/src/systems/intake.rs
+++ b/crates/courseshed-dispatch/src/systems/requests.rs
@@ -1,4 +1,5 @@
-//! Takes in what shard leaders say. Every message may come twice, late, or of a leader that was replaced.
+//! Handles messages from shard leaders. Messages may be duplicated, delayed, or sent by a replaced
+//! leader.
 
 use std::cmp::Ordering;
 
@@ -8,30 +9,29 @@
 };
 
 use crate::{
-    baselines::Charging,
     state::State,
-    systems::{announcing, assignment, cache_view, engine_health, fairness, pauses, queueing},
+    strategy::Charging,
+    systems::{announcement, assignment, cache_view, engine_health, fairness, pauses, queueing},
     tables::{CallEntry, CallPhase, TermCheck, Timer},
     units::Service,
 };
 
-/// Takes one message.
-pub(crate) fn take(state: &mut State, now: Timestamp, request: DispatchRequest) {
+pub(crate) fn handle(state: &mut State, now: Timestamp, request: DispatchRequest) {
     if request.pool != state.pool {
         return;
     }
     let shard = request.shard;
-    match state.shards.check(shard, request.leader, request.term) {
+    match state.shards.check_term(shard, request.leader, request.term) {
         TermCheck::Stale => {
             state.counters.stale_terms += 1;
             return;
         }
-        TermCheck::New => announcing::expect(state, now, shard),
+        TermCheck::New => announcement::start_timeout(state, now, shard),
         TermCheck::Current => {}
     }
     match request.body {
         DispatchRequestBody::Enqueue(call) => enqueue(state, now, shard, call),
-        DispatchRequestBody::Withdraw(call) => forget_call(state, call),
+        DispatchRequestBody::Withdraw(call) => remove_call(state, call),
         DispatchRequestBody::Started { call, engine } => started(state, now, shard, call, engine),
         DispatchRequestBody::Finished { request, usage } => finished(state, now, request, usage),
         DispatchRequestBody::Failed {
@@ -39,47 +39,49 @@
             engine_fault,
         } => failed(state, now, request, engine_fault),
         DispatchRequestBody::ProgramEnded(program) => program_ended(state, program),
-        DispatchRequestBody::AnnounceComplete => announcing::complete(state, shard),
+        DispatchRequestBody::AnnounceComplete => announcement::complete(state, shard),
     }
 }
 
-/// Removes a call whatever it is doing, and undoes what it was charged but did not use.
-pub(crate) fn forget_call(state: &mut State, call: CallId) {
+/// Removes a call in any phase and refunds its charge.
+pub(crate) fn remove_call(state: &mut State, call: CallId) {
     if let Some(entry) = queueing::remove(state, call) {
         settle(state, &entry, Some(Service(0)));
     }
 }
 
-/// Lets a call that was given to an engine wait again, as if it had just come.
-pub(crate) fn wait_anew(state: &mut State, now: Timestamp, call: CallId) {
+/// Revokes a call's assignment and queues it again.
+pub(crate) fn requeue(state: &mut State, now: Timestamp, call: CallId) {
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
     let shard = entry.shard;
     let waiting = entry.call.clone();
-    forget_call(state, call);
+    remove_call(state, call);
     insert(state, shard, waiting);
     queueing::enqueue(state, now, call);
 }
 
 fn enqueue(state: &mut State, now: Timestamp, shard: ShardId, call: Box<WaitingCall>) {
-    if !make_room(state, shard, &call) {
+    if !admit(state, shard, &call) {
         return;
     }
     let id = call.call;
-    note_return(state, now, shard, &call);
-    note_demand(state, now, &call);
+    record_resumption(state, now, shard, &call);
+    record_demand(state, now, &call);
     insert(state, shard, call);
     queueing::enqueue(state, now, id);
 }
 
-/// Counts what a call asks of the pool, what is cached of its prompt left out.
-fn note_demand(state: &mut State, now: Timestamp, call: &WaitingCall) {
+/// Records a call's expected demand, excluding cached prompt tokens.
+fn record_demand(state: &mut State, now: Timestamp, call: &WaitingCall) {
     let program = state.programs.get(&call.call.program);
     let prefix = program.and_then(|program| program.prefix.as_ref());
     let cached = prefix.map_or(Tokens::ZERO, |prefix| prefix.tokens);
     let uncached = call.prompt_tokens.saturating_sub(cached);
-    let output = state.shapes.expected_output(&call.branch, call.max_output);
+    let output = state
+        .workload
+        .expected_output(&call.branch, call.max_output);
     let prefill = uncached.0.saturating_mul(state.config.prefill_weight);
     let decode = output.0.saturating_mul(state.config.decode_weight);
     state.demand.prefill.record(now, prefill as f64);
@@ -107,9 +109,9 @@
             state.counters.stale_attempts += 1;
             return;
         }
-        forget_call(state, known.call);
+        remove_call(state, known.call);
     }
-    note_return(state, now, shard, &call);
+    record_resumption(state, now, shard, &call);
     insert(state, shard, call);
     assignment::place(state, now, id, &engine);
     confirm_phase(state, id);
@@ -122,12 +124,15 @@
     let counted = counted_service(state, &usage);
     settle(state, &entry, Some(counted));
     state
-        .shapes
+        .workload
         .record_output(entry.branch(), usage.completion_tokens);
-    let Some(engine) = entry.placement().map(|placement| placement.engine.clone()) else {
+    let Some(engine) = entry
+        .assignment()
+        .map(|assignment| assignment.engine.clone())
+    else {
         return;
     };
-    engine_health::succeeded(state, now, &engine);
+    engine_health::record_success(state, now, &engine);
     cache_view::filled(state, request.call.program, &engine, &usage);
     let turns = entry.call.turn + 1;
     if let Some(program) = state.programs.get_mut(&request.call.program) {
@@ -143,7 +148,7 @@
         Charging::VirtualTokens => Tokens::ZERO,
     };
     let uncached = usage.prompt_tokens.saturating_sub(cached);
-    Service::weigh(&state.config, uncached, usage.completion_tokens)
+    Service::weighted(&state.config, uncached, usage.completion_tokens)
 }
 
 fn failed(state: &mut State, now: Timestamp, request: RequestId, engine_fault: bool) {
@@ -151,21 +156,23 @@
         return;
     };
     settle(state, &entry, Some(Service(0)));
-    let engine = entry.placement().map(|placement| placement.engine.clone());
+    let engine = entry
+        .assignment()
+        .map(|assignment| assignment.engine.clone());
     if let (true, Some(engine)) = (engine_fault, engine) {
-        engine_health::failed(state, now, &engine);
+        engine_health::record_failure(state, now, &engine);
     }
 }
 
 fn program_ended(state: &mut State, program: ProgramId) {
     if let Some(entry) = pauses::end(state, program) {
-        state.shapes.record_turns(&entry.branch, entry.turns);
+        state.workload.record_turns(&entry.branch, entry.turns);
     }
 }
 
-/// Whether a call is new here; an earlier attempt or call of its program is removed, since the program's shard
-/// must have settled it.
-fn make_room(state: &mut State, shard: ShardId, call: &WaitingCall) -> bool {
+/// Whether a call should be enqueued. An earlier attempt or call of its program is removed, since
+/// the program's shard must have settled it.
+fn admit(state: &mut State, shard: ShardId, call: &WaitingCall) -> bool {
     if has_ended(state, call) {
         state.counters.stale_attempts += 1;
         return false;
@@ -180,24 +187,24 @@
             false
         }
         Ordering::Less => {
-            forget_call(state, known.call);
+            remove_call(state, known.call);
             true
         }
         Ordering::Equal => {
-            name_again(state, shard, call.call);
+            refresh_known(state, shard, call.call);
             false
         }
     }
 }
 
-/// A call that is known is named again; its assignment may have been lost.
-fn name_again(state: &mut State, shard: ShardId, call: CallId) {
+/// Refreshes a call that its shard named again, and resends its assignment in case it was lost.
+fn refresh_known(state: &mut State, shard: ShardId, call: CallId) {
     let generation = generation_of(state, shard);
     if let Some(known) = state.calls.get_mut(&call) {
         known.generation = generation;
         known.shard = shard;
     }
-    assignment::announce(state, call);
+    assignment::send_assignment(state, call);
 }
 
 fn insert(state: &mut State, shard: ShardId, call: Box<WaitingCall>) {
@@ -208,21 +215,21 @@
         shard,
         queue,
         generation,
-        passed_over_since: None,
+        bypassed_since: None,
         was_parked: false,
         phase: CallPhase::Waiting(Default::default()),
     });
 }
 
-/// Confirms an assignment this dispatcher made; false if the call is not known so.
+/// Confirms an assignment made by this dispatcher; false if there is no matching assignment.
 fn confirm(state: &mut State, shard: ShardId, call: &WaitingCall, engine: &EngineId) -> bool {
     let generation = generation_of(state, shard);
     let Some(known) = state.calls.get_mut(&call.call) else {
         return false;
     };
     let placed_there = known
-        .placement()
-        .is_some_and(|placement| placement.engine == *engine);
+        .assignment()
+        .is_some_and(|assignment| assignment.engine == *engine);
     if known.call.attempt != call.attempt || !placed_there {
         return false;
     }
@@ -235,21 +242,21 @@
     let Some(entry) = state.calls.get(&call) else {
         return;
     };
-    if let CallPhase::Assigned(placement) = &entry.phase {
+    if let CallPhase::Assigned(assignment) = &entry.phase {
         state.timers.cancel(Timer::Resend(call));
-        let placement = placement.clone();
-        state.calls.set_phase(&call, CallPhase::Running(placement));
+        let assignment = assignment.clone();
+        state.calls.set_phase(&call, CallPhase::Running(assignment));
     }
 }
 
-/// Removes an attempt that ended, if it is the one known, and notes its end in any case.
+/// Records the end of an attempt, and removes its call unless a later attempt is known.
 fn end_attempt(state: &mut State, request: &RequestId) -> Option<CallEntry> {
     let program = state.programs.get_mut(&request.call.program)?;
     if program.has_ended(request) {
         state.counters.stale_attempts += 1;
         return None;
     }
-    program.note_ended(request);
+    program.record_ended(request);
     let known = state.calls.get(&request.call)?;
     if known.call.attempt > request.attempt {
         return None;
@@ -257,23 +264,23 @@
     queueing::remove(state, request.call)
 }
 
-/// Gives an engine's room back and replaces the charged estimate by what was counted.
+/// Releases the call's capacity on its engine and replaces the estimated charge by `counted`.
 fn settle(state: &mut State, entry: &CallEntry, counted: Option<Service>) {
-    let Some(placement) = entry.placement() else {
+    let Some(assignment) = entry.assignment() else {
         return;
     };
-    if let Some(engine) = state.engines.get_mut(&placement.engine) {
-        engine.remove_call(placement.memory, placement.priority);
+    if let Some(engine) = state.engines.get_mut(&assignment.engine) {
+        engine.remove_call(assignment.memory, assignment.priority);
     }
     if let Some(counted) = counted {
         let warp = state.config.warp_per_priority;
-        let charged = placement.charged;
+        let charged = assignment.charged;
         fairness::correct(&mut state.branches, entry.queue, charged, counted, warp);
     }
 }
 
-/// Notes that a program makes a call again, and learns from its pause.
-fn note_return(state: &mut State, now: Timestamp, shard: ShardId, call: &WaitingCall) {
+/// Marks a program as active again and records the length of its pause.
+fn record_resumption(state: &mut State, now: Timestamp, shard: ShardId, call: &WaitingCall) {
     let program = call.call.program;
     let entry = state.programs.get_or_insert(program, &call.branch, shard);
     entry.shard = shard;
@@ -283,7 +290,7 @@
     };
     if let Some(since) = entry.paused_since.take() {
         let pause = now.since(since);
-        state.shapes.record_pause(&call.branch, pause);
+        state.workload.record_pause(&call.branch, pause);
     }
 }
 
