--- a/crates/courseshed-records/src/record.rs
+++ b/crates/courseshed-records/src/record.rs
@@ -1,82 +1,80 @@
-//! What replicas write down and send each other.
+//! Record types that replicas persist and exchange.
 
 use bytes::Bytes;
 use courseshed_types::CachedPrompt;
 use serde::{Deserialize, Serialize};
 
-/// A kept turn. Never changed once written.
+/// A stored turn of a conversation. Immutable once written.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Turn {
-    /// Request id of the call that made it.
+    /// Id of the request that produced it.
     pub id: String,
-    /// The turn it goes on from.
+    /// Id of the turn it continues.
     pub previous: Option<String>,
-    /// The tenant whose turn it is; none where calls need no key.
+    /// Tenant that owns the turn; `None` where requests need no key.
     #[serde(default)]
     pub tenant: Option<String>,
-    /// What the caller sent.
+    /// Input sent by the caller.
     pub input: Bytes,
-    /// What the engine answered: the data of each event with a line feed behind.
+    /// Output of the engine: the data of each event, followed by a line feed.
     pub output: Bytes,
-    /// The server that made it, and what that held of the prompt then: a hint for the turns that go
-    /// on from this one. None in records written before it was noted.
+    /// The server that produced the turn and the prompt parts it had cached, as a routing hint for
+    /// the turns that continue this one. `None` in records of older versions.
     #[serde(default)]
     pub cached: Option<CachedPrompt>,
 }
 
-/// What a replica writes down.
+/// An entry of a replica's journal.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Record {
-    /// Tokens are set aside for a call of a program.
+    /// Tokens are reserved for a call of a program.
     Reserve {
         /// The program.
         program: String,
-        /// Names the reservation among those of the program.
+        /// Id of the reservation, unique within the program.
         reservation: u64,
-        /// The most that the call may generate.
+        /// Maximum number of tokens that the call may generate.
         most: u32,
-        /// How long the program is kept from now on, in milliseconds.
+        /// How long to retain the program, in milliseconds from now.
         keep_ms: u64,
     },
-    /// A call was given fewer tokens than were set aside, or none.
+    /// A call finished and used at most the tokens reserved for it.
     Settle {
         /// The program.
         program: String,
         /// The reservation.
         reservation: u64,
-        /// Tokens that were given.
+        /// Tokens used.
         given: u32,
-        /// How long the program is kept from now on, in milliseconds. 0 in records written before it
-        /// was noted.
+        /// How long to retain the program, in milliseconds from now. 0 in records of older
+        /// versions.
         #[serde(default)]
         keep_ms: u64,
     },
-    /// A turn was answered whole.
+    /// A turn was completed.
     Keep {
         /// The turn.
         turn: Turn,
-        /// How long it is kept with its chain from now on, in milliseconds.
+        /// How long to retain the turn and its ancestors, in milliseconds from now.
         keep_ms: u64,
     },
-    /// The replica has moved to an epoch and refuses older ones.
+    /// The replica adopted an epoch and rejects older ones.
     Epoch(u64),
 }
 
-/// What a record says of a reservation: both kinds say how many tokens it counts at the most.
+/// Common view of [`Record::Reserve`] and [`Record::Settle`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct ReservationRecord<'a> {
-    /// The program.
     pub program: &'a str,
-    /// The reservation.
     pub reservation: u64,
-    /// Tokens that were set aside, or given.
+    /// Tokens reserved, or used once settled.
     pub tokens: u32,
-    /// How long the program is kept from now on, in milliseconds.
+    /// How long to retain the program, in milliseconds from now.
     pub keep_ms: u64,
 }
 
 impl Record {
-    /// What it says of a reservation; none if it is about something else.
+    /// The reservation that the record is about, if it is about one.
     pub(crate) fn reservation(&self) -> Option<ReservationRecord<'_>> {
         match self {
             Self::Reserve {
@@ -101,29 +99,29 @@
     }
 }
 
-/// One reservation as a replica knows it.
+/// A reservation as known to a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reserved {
-    /// Its name.
+    /// Id of the reservation.
     pub reservation: u64,
-    /// What it counts: what was given once settled, the most before.
+    /// Tokens used if the reservation is settled, tokens reserved otherwise.
     pub tokens: u32,
 }
 
-/// Where an export goes on.
+/// Position at which an export resumes.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportCursor {
-    /// All programs up to this one were exported.
+    /// The last exported program.
     pub program: Option<String>,
-    /// All programs, and turns up to this one, were exported.
+    /// The last exported turn. If set, all programs have been exported.
     pub turn: Option<String>,
 }
 
-/// A piece of an export.
+/// A page of an export.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ExportPage {
-    /// Records to be taken in.
+    /// Records to apply.
     pub records: Vec<Record>,
-    /// Where to go on; none at the end.
+    /// Cursor of the next page; `None` after the last one.
     pub next: Option<ExportCursor>,
 }
--- a/crates/courseshed-records/src/view.rs
+++ b/crates/courseshed-records/src/view.rs
@@ -1,83 +1,83 @@
-//! Which machines hold the records, and how many make a quorum.
+//! Replica sets and quorum sizes.
 
 use courseshed_types::NodeId;
 use serde::{Deserialize, Serialize};
 
-/// One replica of the records.
+/// A replica of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordMember {
-    /// The machine.
+    /// The node that hosts it.
     pub node: NodeId,
-    /// The life of its disk: an emptied disk is another member.
+    /// Incarnation of the disk: a node with a wiped disk is a different member.
     pub incarnation: u64,
-    /// Where it stands.
+    /// Zone of the node.
     pub zone: String,
-    /// Whether it counts; one that is still reading from the others does not.
+    /// Whether the replica counts towards quorums; a replica that is still catching up does not.
     pub active: bool,
 }
 
-/// The replicas at one moment. Each change has a higher epoch.
+/// The replica set of a partition. Each change increments the epoch.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RecordView {
-    /// Grows by one with each change.
+    /// Incremented by each change.
     pub epoch: u64,
-    /// The replicas, active or joining.
+    /// Current replicas, active or catching up.
     pub members: Vec<RecordMember>,
-    /// Replicas whose place another took that is still joining. They count for nothing, but what
-    /// they have on disk is as good a source for whoever joins as that of a member.
+    /// Replicas whose replacement has not caught up yet. They do not count towards quorums but
+    /// remain valid sources for catch-up.
     #[serde(default)]
     pub former: Vec<RecordMember>,
 }
 
 impl RecordView {
-    /// Replicas that make a quorum: a majority of all members, counted among the active ones.
+    /// Quorum size: a majority of all members, of which only active ones may vote.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.members.len() / 2 + 1
     }
 
-    /// How many active replicas a joining one reads from: any quorum of an earlier view meets them.
+    /// Number of sources a joining replica must read to intersect every quorum of an earlier view.
     #[must_use]
     pub fn sources_needed(&self) -> usize {
         self.members.len() - self.quorum() + 1
     }
 
-    /// The member on a machine.
+    /// The member on a node.
     #[must_use]
     pub fn member(&self, node: NodeId) -> Option<&RecordMember> {
         self.members.iter().find(|member| member.node == node)
     }
 
-    /// The members that count.
+    /// Members that count towards quorums.
     pub fn active(&self) -> impl Iterator<Item = &RecordMember> {
         self.members.iter().filter(|member| member.active)
     }
 
-    /// Whom a joining replica may read from.
+    /// Replicas that a joining replica may catch up from.
     pub fn sources(&self) -> impl Iterator<Item = &RecordMember> {
         self.active().chain(&self.former)
     }
 
-    /// Whether there are members and all of them count.
+    /// Whether the view has members and all of them are active.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         !self.members.is_empty() && self.members.iter().all(|member| member.active)
     }
 
-    /// Whether a machine is a member, or was one whose records a joining member may still need.
+    /// Whether a node is a member, or a former member whose records may still be needed.
     #[must_use]
     pub fn needs(&self, node: NodeId) -> bool {
         self.member(node).is_some() || self.former.iter().any(|former| former.node == node)
     }
 
-    /// Whether this very life of a machine's disk counts.
+    /// Whether this incarnation of a node's disk is an active member.
     #[must_use]
     pub fn is_active(&self, node: NodeId, incarnation: u64) -> bool {
         self.member(node)
             .is_some_and(|member| member.active && member.incarnation == incarnation)
     }
 
-    /// The next view, with a member that has caught up made active; none if it isn't joining.
+    /// The next view, in which a joining member becomes active; `None` if it is not joining.
     #[must_use]
     pub fn activate(&self, node: NodeId, incarnation: u64) -> Option<Self> {
         let mut next = self.next_epoch();
--- a/crates/courseshed-records/tests/views.rs
+++ b/crates/courseshed-records/tests/views.rs
@@ -1,4 +1,4 @@
-//! Which view comes next, and what quorums decide.
+//! Planning of views and quorum decisions.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -59,10 +59,10 @@
 }
 
 #[test]
-fn the_first_member_counts_at_once_and_later_ones_only_after_reading() {
-    let first = next(&RecordView::default(), &[1], &[], &[]).expect("a view");
+fn first_member_is_active_and_later_ones_must_catch_up() {
+    let first = next(&RecordView::default(), &[1], &[], &[]).expect("next view");
     assert!(first.members[0].active);
-    let second = next(&first, &[1, 2], &[], &[]).expect("a view");
+    let second = next(&first, &[1, 2], &[], &[]).expect("next view");
     assert_eq!(nodes(&second), [1, 2]);
     assert!(!second.members[1].active);
     assert_eq!(
@@ -70,52 +70,52 @@
         None,
         "one joins at a time"
     );
-    let grown = second.activate(NodeId(2), 2).expect("it joins");
+    let grown = second.activate(NodeId(2), 2).expect("joining member");
     assert_eq!(
         second.activate(NodeId(2), 9),
         None,
-        "another life of the disk"
+        "another incarnation of the disk"
     );
     assert_eq!(
-        nodes(&next(&grown, &[1, 2, 3], &[], &[]).expect("a view")),
+        nodes(&next(&grown, &[1, 2, 3], &[], &[]).expect("next view")),
         [1, 2, 3]
     );
 }
 
 #[test]
-fn a_silent_member_gives_its_place_to_a_spare_and_stays_a_source() {
+fn silent_member_is_replaced_and_remains_a_source() {
     let full = view(vec![member(1, true), member(2, true), member(3, true)]);
     assert_eq!(
         next(&full, &[1, 2, 3], &[3], &[]),
         None,
-        "there is no spare"
+        "no replacement is available"
     );
-    let replaced = next(&full, &[1, 2, 3, 4], &[3], &[]).expect("a view");
+    let replaced = next(&full, &[1, 2, 3, 4], &[3], &[]).expect("next view");
     assert_eq!(nodes(&replaced), [1, 2, 4]);
     assert!(replaced.sources().any(|source| source.node == NodeId(3)));
-    let whole = replaced.activate(NodeId(4), 4).expect("it joins");
-    assert!(whole.former.is_empty());
+    let activated = replaced.activate(NodeId(4), 4).expect("joining member");
+    assert!(activated.former.is_empty());
 }
 
 #[test]
-fn a_member_is_not_replaced_when_too_few_others_are_heard() {
+fn member_is_not_replaced_if_too_few_others_respond() {
     let full = view(vec![member(1, true), member(2, true), member(3, true)]);
     assert_eq!(next(&full, &[1, 2, 3, 4], &[2, 3], &[]), None);
 }
 
 #[test]
-fn a_machine_is_emptied_only_after_another_has_joined() {
+fn retiring_member_leaves_only_after_its_replacement_joined() {
     let full = view(vec![member(1, true), member(2, true), member(3, true)]);
     assert_eq!(next(&full, &[1, 2, 3], &[], &[3]), None);
-    let grown = next(&full, &[1, 2, 3, 4], &[], &[3]).expect("a view");
+    let grown = next(&full, &[1, 2, 3, 4], &[], &[3]).expect("next view");
     assert_eq!(nodes(&grown), [1, 2, 3, 4]);
     assert_eq!(
         next(&grown, &[1, 2, 3, 4], &[], &[3]),
         None,
-        "the new one still reads"
+        "the replacement is still catching up"
     );
-    let joined = grown.activate(NodeId(4), 4).expect("it joins");
-    let left = next(&joined, &[1, 2, 3, 4], &[], &[3]).expect("a view");
+    let joined = grown.activate(NodeId(4), 4).expect("joining member");
+    let left = next(&joined, &[1, 2, 3, 4], &[], &[3]).expect("next view");
     assert_eq!(nodes(&left), [1, 2, 4]);
 }
 
@@ -126,7 +126,7 @@
     four = { 4, 3, 2 },
     five = { 5, 3, 3 },
 )]
-fn quorums_and_sources_meet(members: u32, quorum: usize, sources: usize) {
+fn quorums_and_sources_intersect(members: u32, quorum: usize, sources: usize) {
     let view = view((1..=members).map(|node| member(node, true)).collect());
     assert_eq!(view.quorum(), quorum);
     assert_eq!(view.sources_needed(), sources);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_joining_member_does_not_count_and_nobody_counts_twice() {
+fn joining_members_and_duplicate_replies_are_not_counted() {
     let view = view(vec![member(1, true), member(2, true), member(3, false)]);
     let mut tally = WriteTally::new(&view);
     assert!(!tally.on_stored(NodeId(3)));
@@ -148,14 +148,14 @@
     settled_elsewhere = { 31, ReservationDecision::Granted { is_first: false } },
     too_much = { 30, ReservationDecision::Spent { by_others: 11 } },
 )]
-fn a_reservation_counts_what_any_replica_knows(budget: u64, expected: ReservationDecision) {
+fn reservation_accounts_for_entries_of_any_replica(budget: u64, expected: ReservationDecision) {
     let view = view(vec![member(1, true), member(2, true), member(3, true)]);
     let mut tally = ReservationTally::new(&view, 9, 20, budget);
     let entry = |reservation, tokens| Reserved {
         reservation,
         tokens,
     };
-    // One replica has not heard yet that reservation 1 was settled at 5.
+    // The first replica has not received the settlement of reservation 1 to 5 tokens.
     assert_eq!(
         tally.on_reserved(NodeId(1), &[entry(1, 20), entry(9, 20)]),
         None
