--- a/crates/courseshed-records/tests/prompt_hints.rs
+++ b/crates/courseshed-records/tests/prompt_hints.rs
@@ -1,9 +1,9 @@
-//! What stores remember of where programs' prompts were read.
+//! Retention of prompt cache hints.
 
 use courseshed_records::PromptHints;
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 
-fn cached(server: u32, line: u64, tokens: u32) -> CachedPrompt {
+fn cached(server: u32, conversation: u64, tokens: u32) -> CachedPrompt {
     CachedPrompt {
         server: ServerKey(server),
         parts: vec![
@@ -11,13 +11,16 @@
                 id: 1,
                 tokens: 12_000,
             },
-            PromptPart { id: line, tokens },
+            PromptPart {
+                id: conversation,
+                tokens,
+            },
         ],
     }
 }
 
 #[test]
-fn the_newest_of_each_line_is_told() {
+fn newest_hint_of_each_conversation_is_returned() {
     let mut hints = PromptHints::default();
     hints.note(0, "p", cached(1, 10, 500));
     hints.note(5, "p", cached(2, 11, 300));
@@ -27,17 +30,17 @@
 }
 
 #[test]
-fn a_program_with_many_helpers_keeps_its_newest_lines() {
+fn conversations_per_program_are_bounded() {
     let mut hints = PromptHints::default();
-    for line in 0..100 {
-        hints.note(line, "p", cached(1, line, 500));
+    for conversation in 0..100 {
+        hints.note(conversation, "p", cached(1, conversation, 500));
     }
-    let lines: Vec<u64> = hints.of("p").iter().map(|hint| hint.parts[1].id).collect();
-    assert_eq!(lines, [96, 97, 98, 99]);
+    let conversations: Vec<u64> = hints.of("p").iter().map(|hint| hint.parts[1].id).collect();
+    assert_eq!(conversations, [96, 97, 98, 99]);
 }
 
 #[test]
-fn old_hints_and_too_many_are_forgotten() {
+fn expired_and_excess_hints_are_removed() {
     let mut hints = PromptHints::default();
     hints.note(0, "old", cached(1, 1, 1));
     hints.note(20_000, "new", cached(1, 1, 1));
