--- a/crates/courseshed-records/src/lib.rs
+++ b/crates/courseshed-records/src/lib.rs
@@ -1,17 +1,18 @@
-//! Durable records of programs: token reservations and kept turns, on a quorum of disks.
+//! Durable records of programs (token reservations and stored turns), replicated to a quorum of
+//! disks.
 //!
-//! Records are never changed in a way whose order matters: a reservation is added and later lowered
-//! to what was given, a turn is added whole. So there is no leader to wait for: a writer sends to
-//! every replica and goes on when a quorum has the record on disk. Who the replicas are is a
-//! [`RecordView`], which the controllers commit; each write names the view's epoch, and a replica
-//! that moved on refuses older ones. Programs are spread over partitions ([`PartitionMap`]), each of
-//! which has a view of its own. See `docs/design/records.md`.
+//! Updates commute: a reservation is added and later only lowered to the tokens used, and a turn is
+//! immutable. No leader is needed: a writer sends to every replica and proceeds once a quorum has
+//! the record on disk. The replica set is a [`RecordView`] committed by the controllers; each write
+//! carries the epoch of its view, and a replica rejects epochs older than its own. Programs are
+//! hashed to partitions ([`PartitionMap`]), each with its own view. See `docs/design/records.md`.
 //!
 //! Invariants:
-//! - Any two quorums of one view, or of consecutive views, share a replica that has the record, as
-//!   long as no more disks are lost than the view bears.
-//! - A replica with an empty disk counts for nothing until it has read from enough others.
-//! - The sum of what is reserved for a program and what it was given never exceeds its budget.
+//! - Any two quorums of the same view, or of consecutive views, share a replica that has the
+//!   record, as long as no more disks are lost than the view tolerates.
+//! - A replica with an empty disk does not count towards quorums until it has caught up from
+//!   enough other replicas.
+//! - The tokens reserved for a program plus the tokens it has used never exceed its budget.
 
 mod partition;
 mod plan;
@@ -34,7 +35,7 @@
 pub use prompt_hints::PromptHints;
 pub use record::{ExportCursor, ExportPage, Record, Reserved, Turn};
 pub use replica::{
-    ChainError, EntryKey, EntryPage, KeptEntry, Location, RecordReplica, SegmentNumber,
+    ChainError, EntryKey, EntryPage, Location, RecordReplica, SegmentNumber, StoredEntry,
 };
 pub use segments::JournalError;
 pub use store::{ReadError, RecordStore, StoreFigures, StoreLimits};
--- a/crates/courseshed-records/src/replica.rs
+++ b/crates/courseshed-records/src/replica.rs
@@ -1,8 +1,8 @@
-//! The tables of one replica: an index of what its files hold. Pure: times are passed in, and reading
-//! and writing the files is the caller's.
+//! In-memory index of the records of one replica. Performs no I/O; the caller passes times in and
+//! reads and writes the files.
 //!
-//! Invariant: memory grows with the number of programs and turns that are kept, never with the size
-//! of the turns. A turn's input and output stand in the files alone, at its [`Location`].
+//! Invariant: memory grows with the number of stored programs and turns, not with the size of the
+//! turns. The input and output of a turn are only in the files, at its [`Location`].
 
 use std::collections::BTreeMap;
 use std::ops::Bound;
@@ -13,84 +13,84 @@
 use crate::record::ReservationRecord;
 use crate::{ExportCursor, Record, Reserved};
 
-/// Longest chain of turns that is followed; a guard against a damaged record.
-const MAX_CHAIN: usize = 4096;
-/// A repeated record that would keep something this little longer isn't worth writing: retention has
-/// a margin of several times as much, and whoever imports from several replicas sees their clocks'
-/// differences and the time that pages take as small extensions.
-const EXPIRY_GRAIN_MS: u64 = 2_000;
-/// What a reservation takes in a file beside the program's name: header of the frame, time, numbers.
+/// Maximum number of turns followed in a chain. Guards against cycles from damaged records.
+const MAX_CHAIN_LENGTH: usize = 4096;
+/// A repeated record is not written again if it extends the expiry by at most this much. Imports
+/// from several replicas see clock skew and transfer delays as small extensions, which retention
+/// periods leave ample margin for.
+const EXPIRY_TOLERANCE_MS: u64 = 2_000;
+/// Size of a stored reservation beyond the program's name: frame header, time and numbers.
 const RESERVATION_FRAME_BYTES: u32 = 48;
 
-/// Names a file of a store. Grows with each new file.
+/// Number of a segment file. Increases with each new file.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SegmentNumber(pub u64);
 
-/// Where a record stands in the files of a store.
+/// Position of a record in the files of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Location {
-    /// The file.
+    /// The segment.
     pub segment: SegmentNumber,
-    /// Where its frame begins, in bytes.
+    /// Offset of its frame in bytes.
     pub offset: u64,
-    /// Size of its frame, in bytes.
+    /// Size of its frame in bytes.
     pub length: u32,
 }
 
-/// Why a chain can't be given.
+/// Reasons why a chain of turns cannot be returned.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu, Serialize, Deserialize)]
 pub enum ChainError {
-    /// The turn asked for is not here.
-    #[snafu(display("turn {id:?} is not kept here"))]
+    /// The requested turn is not stored.
+    #[snafu(display("turn {id:?} is not stored"))]
     Missing {
-        /// The turn.
+        /// Id of the turn.
         id: String,
     },
-    /// A turn that it goes on from is not here.
-    #[snafu(display("turn {id:?} of the chain is not kept here"))]
+    /// An ancestor of the requested turn is not stored.
+    #[snafu(display("ancestor turn {id:?} is not stored"))]
     Broken {
-        /// The missing turn.
+        /// Id of the missing turn.
         id: String,
     },
 }
 
-/// Names something that is kept.
+/// Key of a stored entry.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EntryKey {
-    /// What a program reserved or was given in one call.
+    /// A reservation of a program.
     Reservation {
         /// The program.
         program: String,
-        /// The reservation.
+        /// Id of the reservation.
         reservation: u64,
     },
     /// A turn.
     Turn {
-        /// Its id.
+        /// Id of the turn.
         id: String,
     },
 }
 
-/// Something that is kept, as it is to be written anew or sent to another replica.
+/// A stored entry to be compacted or exported.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum KeptEntry {
-    /// Complete as it is.
+pub enum StoredEntry {
+    /// A complete record.
     Reservation(Record),
-    /// A turn: its content is to be read from the files.
+    /// A turn, whose content must be read from the files.
     Turn {
-        /// Where it stands.
+        /// Position of the turn.
         location: Location,
-        /// How much longer it is kept, in milliseconds.
+        /// Remaining retention in milliseconds.
         keep_ms: u64,
     },
 }
 
-/// A piece of all that is kept.
+/// A page of stored entries.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EntryPage {
-    /// What is kept, in the order of the cursor.
-    pub entries: Vec<KeptEntry>,
-    /// Where to go on; none at the end.
+    /// Entries in cursor order.
+    pub entries: Vec<StoredEntry>,
+    /// Cursor of the next page; `None` after the last one.
     pub next: Option<ExportCursor>,
 }
 
@@ -107,95 +107,94 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct KeptTurn {
+struct StoredTurn {
     previous: Option<String>,
     location: Location,
     expires_ms: u64,
 }
 
-/// The tables of one replica.
+/// In-memory index of the records of one replica.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecordReplica {
     epoch: u64,
     programs: BTreeMap<String, Program>,
-    turns: BTreeMap<String, KeptTurn>,
+    turns: BTreeMap<String, StoredTurn>,
 }
 
 impl RecordReplica {
-    /// The newest epoch that the replica has moved to.
+    /// The newest epoch that the replica has adopted.
     #[must_use]
     pub fn epoch(&self) -> u64 {
         self.epoch
     }
 
-    /// Programs and turns that are kept.
+    /// Number of stored programs and turns.
     #[must_use]
     pub fn len(&self) -> usize {
         self.programs.len() + self.turns.len()
     }
 
-    /// Turns that are kept.
+    /// Number of stored turns.
     #[must_use]
     pub fn turns(&self) -> usize {
         self.turns.len()
     }
 
-    /// Reservations that are kept, of all programs.
+    /// Number of stored reservations of all programs.
     #[must_use]
     pub fn reservations(&self) -> usize {
         let programs = self.programs.values();
         programs.map(|program| program.reservations.len()).sum()
     }
 
-    /// Whether nothing is kept.
+    /// Whether nothing is stored.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a record in that stands at a place of the files. Doing so twice, or in another order,
-    /// comes to the same.
+    /// Indexes a record stored at a location. Idempotent and commutative.
     ///
-    /// `at_ms` is the time of day at which the record came, in milliseconds.
+    /// `at_ms` is the wall-clock time at which the record was received.
     pub fn apply(&mut self, at_ms: u64, record: &Record, location: Location) {
-        if let Some(said) = record.reservation() {
-            let program = self.programs.entry(said.program.to_owned()).or_default();
-            program.count(&said, at_ms, location.segment);
+        if let Some(update) = record.reservation() {
+            let program = self.programs.entry(update.program.to_owned()).or_default();
+            program.apply(&update, at_ms, location.segment);
         }
         match record {
             Record::Keep { turn, keep_ms } => {
-                self.keep(&turn.id, turn.previous.clone(), location, at_ms + keep_ms);
+                self.store_turn(&turn.id, turn.previous.clone(), location, at_ms + keep_ms);
             }
             Record::Epoch(epoch) => self.epoch = self.epoch.max(*epoch),
             Record::Reserve { .. } | Record::Settle { .. } => {}
         }
     }
 
-    /// Whether all that a record says is known, so that it need not be written.
+    /// Whether applying a record would change nothing, so that it need not be written.
     #[must_use]
-    pub fn knows(&self, at_ms: u64, record: &Record) -> bool {
-        if let Some(said) = record.reservation() {
-            let program = self.programs.get(said.program);
-            return program.is_some_and(|program| program.knows(&said, at_ms));
+    pub fn is_redundant(&self, at_ms: u64, record: &Record) -> bool {
+        if let Some(update) = record.reservation() {
+            let program = self.programs.get(update.program);
+            return program.is_some_and(|program| program.covers(&update, at_ms));
         }
         match record {
             Record::Keep { turn, keep_ms } => {
-                let kept = self.turns.get(&turn.id);
-                kept.is_some_and(|kept| reaches(kept.expires_ms, at_ms + keep_ms))
+                let stored = self.turns.get(&turn.id);
+                stored.is_some_and(|stored| lasts_until(stored.expires_ms, at_ms + keep_ms))
             }
             Record::Epoch(epoch) => self.epoch >= *epoch,
             Record::Reserve { .. } | Record::Settle { .. } => false,
         }
     }
 
-    /// How much longer a program is kept, in milliseconds; 0 if it isn't.
+    /// Remaining retention of a program in milliseconds; 0 if it is not stored.
     #[must_use]
-    pub fn program_keep_ms(&self, program: &str, now_ms: u64) -> u64 {
+    pub fn program_retention_ms(&self, program: &str, now_ms: u64) -> u64 {
         let program = self.programs.get(program);
         program.map_or(0, |program| program.expires_ms.saturating_sub(now_ms))
     }
 
-    /// What is reserved for a program and what it was given.
+    /// The reservations of a program.
     #[must_use]
     pub fn reserved(&self, program: &str) -> Vec<Reserved> {
         let Some(program) = self.programs.get(program) else {
@@ -203,48 +202,52 @@
         };
         let entries = program.reservations.iter();
         entries
-            .map(|(reservation, counted)| Reserved {
+            .map(|(reservation, stored)| Reserved {
                 reservation: *reservation,
-                tokens: counted.tokens,
+                tokens: stored.tokens,
             })
             .collect()
     }
 
-    /// Where a turn and all that it goes on from stand, the oldest first.
+    /// Locations of a turn and all of its ancestors, the oldest first.
     ///
     /// # Errors
-    /// [`ChainError`] when one of them is not here.
+    /// [`ChainError`] if one of them is not stored.
     pub fn chain(&self, id: &str) -> Result<Vec<Location>, ChainError> {
         let mut chain = Vec::new();
         let mut next = Some(id.to_owned());
         while let Some(id) = next {
-            let Some(kept) = self.turns.get(&id).filter(|_| chain.len() < MAX_CHAIN) else {
+            let Some(stored) = self
+                .turns
+                .get(&id)
+                .filter(|_| chain.len() < MAX_CHAIN_LENGTH)
+            else {
                 return Err(if chain.is_empty() {
                     ChainError::Missing { id }
                 } else {
                     ChainError::Broken { id }
                 });
             };
-            next = kept.previous.clone();
-            chain.push(kept.location);
+            next = stored.previous.clone();
+            chain.push(stored.location);
         }
         chain.reverse();
         Ok(chain)
     }
 
-    /// Drops what need not be kept at a time of day.
+    /// Removes expired programs and turns.
     pub fn expire(&mut self, now_ms: u64) {
         self.programs
             .retain(|_, program| program.expires_ms > now_ms);
-        self.turns.retain(|_, kept| kept.expires_ms > now_ms);
+        self.turns.retain(|_, stored| stored.expires_ms > now_ms);
     }
 
-    /// A piece of all that is kept, of about `limit_bytes`, for a replica that joins.
+    /// A page of about `limit_bytes` of the stored entries, for catch-up of a joining replica.
     #[must_use]
     pub fn export(&self, now_ms: u64, cursor: &ExportCursor, limit_bytes: usize) -> EntryPage {
         let mut entries = Vec::new();
         let mut size = 0;
-        let mut at = cursor.clone();
+        let mut position = cursor.clone();
         if cursor.turn.is_none() {
             let after = cursor
                 .program
@@ -254,32 +257,32 @@
                 if size >= limit_bytes {
                     return EntryPage {
                         entries,
-                        next: Some(at),
+                        next: Some(position),
                     };
                 }
                 let reservations = program.reservations.iter();
-                entries.extend(reservations.map(|(reservation, counted)| {
-                    KeptEntry::Reservation(program.record(id, *reservation, counted, now_ms))
+                entries.extend(reservations.map(|(reservation, stored)| {
+                    StoredEntry::Reservation(program.record(id, *reservation, stored, now_ms))
                 }));
                 size += program.reservations.len() * reservation_bytes(id) as usize;
-                at.program = Some(id.clone());
+                position.program = Some(id.clone());
             }
         }
         let after = cursor
             .turn
             .clone()
             .map_or(Bound::Unbounded, Bound::Excluded);
-        for (id, kept) in self.turns.range::<String, _>((after, Bound::Unbounded)) {
+        for (id, stored) in self.turns.range::<String, _>((after, Bound::Unbounded)) {
             if size >= limit_bytes {
-                at.turn.get_or_insert_default();
+                position.turn.get_or_insert_default();
                 return EntryPage {
                     entries,
-                    next: Some(at),
+                    next: Some(position),
                 };
             }
-            size += kept.location.length as usize;
-            entries.push(kept.entry(now_ms));
-            at.turn = Some(id.clone());
+            size += stored.location.length as usize;
+            entries.push(stored.entry(now_ms));
+            position.turn = Some(id.clone());
         }
         EntryPage {
             entries,
@@ -287,27 +290,27 @@
         }
     }
 
-    /// Tells of each record that is needed how many bytes it takes in which file.
-    pub fn count_live(&self, mut count: impl FnMut(SegmentNumber, u64)) {
+    /// Reports the segment and size in bytes of each live record to `count`.
+    pub fn for_each_live_record(&self, mut count: impl FnMut(SegmentNumber, u64)) {
         for (id, program) in &self.programs {
             let bytes = u64::from(reservation_bytes(id));
-            for counted in program.reservations.values() {
-                count(counted.segment, bytes);
+            for stored in program.reservations.values() {
+                count(stored.segment, bytes);
             }
         }
-        for kept in self.turns.values() {
-            count(kept.location.segment, u64::from(kept.location.length));
+        for stored in self.turns.values() {
+            count(stored.location.segment, u64::from(stored.location.length));
         }
     }
 
-    /// All of which the record that counts stands in one file.
+    /// Keys of the entries whose live record is in a segment.
     #[must_use]
-    pub fn keys_in(&self, segment: SegmentNumber) -> Vec<EntryKey> {
+    pub fn keys_in_segment(&self, segment: SegmentNumber) -> Vec<EntryKey> {
         let programs = self.programs.iter();
         let reservations = programs.flat_map(|(id, program)| {
             let reservations = program.reservations.iter();
             reservations
-                .filter(|(_, counted)| counted.segment == segment)
+                .filter(|(_, stored)| stored.segment == segment)
                 .map(|(reservation, _)| EntryKey::Reservation {
                     program: id.clone(),
                     reservation: *reservation,
@@ -315,37 +318,37 @@
         });
         let turns = self.turns.iter();
         let turns = turns
-            .filter(|(_, kept)| kept.location.segment == segment)
+            .filter(|(_, stored)| stored.location.segment == segment)
             .map(|(id, _)| EntryKey::Turn { id: id.clone() });
         reservations.chain(turns).collect()
     }
 
-    /// Something that is kept, if the record that counts still stands in one file.
+    /// The entry of a key, if its live record is still in the segment.
     #[must_use]
-    pub fn entry_in(
+    pub fn entry_in_segment(
         &self,
         segment: SegmentNumber,
         key: &EntryKey,
         now_ms: u64,
-    ) -> Option<KeptEntry> {
+    ) -> Option<StoredEntry> {
         match key {
             EntryKey::Reservation {
                 program: id,
                 reservation,
             } => {
                 let program = self.programs.get(id)?;
-                let counted = program.reservations.get(reservation)?;
-                let record = || program.record(id, *reservation, counted, now_ms);
-                (counted.segment == segment).then(|| KeptEntry::Reservation(record()))
+                let stored = program.reservations.get(reservation)?;
+                let record = || program.record(id, *reservation, stored, now_ms);
+                (stored.segment == segment).then(|| StoredEntry::Reservation(record()))
             }
             EntryKey::Turn { id } => {
-                let kept = self.turns.get(id)?;
-                (kept.location.segment == segment).then(|| kept.entry(now_ms))
+                let stored = self.turns.get(id)?;
+                (stored.location.segment == segment).then(|| stored.entry(now_ms))
             }
         }
     }
 
-    /// Notes that the record that counts was written anew at another place.
+    /// Updates the location of an entry's live record after it was copied.
     pub fn relocate(&mut self, key: &EntryKey, location: Location) {
         match key {
             EntryKey::Reservation {
@@ -353,84 +356,93 @@
                 reservation,
             } => {
                 let program = self.programs.get_mut(program);
-                let counted = program.and_then(|program| program.reservations.get_mut(reservation));
-                if let Some(counted) = counted {
-                    counted.segment = location.segment;
+                let stored = program.and_then(|program| program.reservations.get_mut(reservation));
+                if let Some(stored) = stored {
+                    stored.segment = location.segment;
                 }
             }
             EntryKey::Turn { id } => {
-                if let Some(kept) = self.turns.get_mut(id) {
-                    kept.location = location;
+                if let Some(stored) = self.turns.get_mut(id) {
+                    stored.location = location;
                 }
             }
         }
     }
 
-    /// A repeated turn counts where it is kept longer: that record must not be lost.
-    fn keep(&mut self, id: &str, previous: Option<String>, location: Location, expires_ms: u64) {
+    /// Records a turn and extends the retention of its ancestors. Of repeated turns the record with
+    /// the latest expiry is the live one, since it must not be lost.
+    fn store_turn(
+        &mut self,
+        id: &str,
+        previous: Option<String>,
+        location: Location,
+        expires_ms: u64,
+    ) {
         let mut ancestor = previous.clone();
-        let kept = self.turns.entry(id.to_owned()).or_insert(KeptTurn {
+        let stored = self.turns.entry(id.to_owned()).or_insert(StoredTurn {
             previous,
             location,
             expires_ms,
         });
-        if expires_ms > kept.expires_ms {
-            kept.expires_ms = expires_ms;
-            kept.location = location;
+        if expires_ms > stored.expires_ms {
+            stored.expires_ms = expires_ms;
+            stored.location = location;
         }
         while let Some(id) = ancestor {
-            let Some(kept) = self.turns.get_mut(&id) else {
+            let Some(stored) = self.turns.get_mut(&id) else {
                 return;
             };
-            if kept.expires_ms >= expires_ms {
+            if stored.expires_ms >= expires_ms {
                 return;
             }
-            kept.expires_ms = expires_ms;
-            ancestor = kept.previous.clone();
+            stored.expires_ms = expires_ms;
+            ancestor = stored.previous.clone();
         }
     }
 }
 
 impl Program {
-    /// A reservation is only ever lowered, so the order of records doesn't matter. Of several records
-    /// the newest that keeps the program long enough counts as the one to be carried on, unless it says
-    /// more tokens than are known. Where only such a one keeps the program long enough, it counts all
-    /// the same: tokens that come back are refused to the program, a program forgotten early is not.
-    fn count(&mut self, said: &ReservationRecord<'_>, at_ms: u64, segment: SegmentNumber) {
-        let expires_ms = at_ms + said.keep_ms;
-        let is_lasting = reaches(expires_ms, self.expires_ms);
-        let is_extending = !reaches(self.expires_ms, expires_ms);
+    /// Lowers the reservation to the tokens of the record, so the order of records does not matter.
+    ///
+    /// The live record is the newest one that retains the program long enough and states no more
+    /// tokens than known. A record that alone retains the program long enough becomes live even if
+    /// it states more tokens: overcounting after a restart denies tokens to the program, whereas
+    /// forgetting the program early could exceed its budget.
+    fn apply(&mut self, update: &ReservationRecord<'_>, at_ms: u64, segment: SegmentNumber) {
+        let expires_ms = at_ms + update.keep_ms;
+        let lasts_long_enough = lasts_until(expires_ms, self.expires_ms);
+        let extends_expiry = !lasts_until(self.expires_ms, expires_ms);
         self.expires_ms = self.expires_ms.max(expires_ms);
-        let tokens = said.tokens;
-        let counted = self
+        let tokens = update.tokens;
+        let stored = self
             .reservations
-            .entry(said.reservation)
+            .entry(update.reservation)
             .or_insert(Reservation { tokens, segment });
-        if is_extending || is_lasting && tokens <= counted.tokens {
-            counted.segment = segment;
+        if extends_expiry || lasts_long_enough && tokens <= stored.tokens {
+            stored.segment = segment;
         }
-        counted.tokens = counted.tokens.min(tokens);
+        stored.tokens = stored.tokens.min(tokens);
     }
 
-    fn knows(&self, said: &ReservationRecord<'_>, at_ms: u64) -> bool {
-        let counted = self.reservations.get(&said.reservation);
-        counted.is_some_and(|counted| counted.tokens <= said.tokens)
-            && reaches(self.expires_ms, at_ms + said.keep_ms)
+    fn covers(&self, update: &ReservationRecord<'_>, at_ms: u64) -> bool {
+        let stored = self.reservations.get(&update.reservation);
+        stored.is_some_and(|stored| stored.tokens <= update.tokens)
+            && lasts_until(self.expires_ms, at_ms + update.keep_ms)
     }
 
-    fn record(&self, id: &str, reservation: u64, counted: &Reservation, now_ms: u64) -> Record {
+    fn record(&self, id: &str, reservation: u64, stored: &Reservation, now_ms: u64) -> Record {
         Record::Reserve {
             program: id.to_owned(),
             reservation,
-            most: counted.tokens,
+            most: stored.tokens,
             keep_ms: self.expires_ms.saturating_sub(now_ms),
         }
     }
 }
 
-impl KeptTurn {
-    fn entry(&self, now_ms: u64) -> KeptEntry {
-        KeptEntry::Turn {
+impl StoredTurn {
+    fn entry(&self, now_ms: u64) -> StoredEntry {
+        StoredEntry::Turn {
             location: self.location,
             keep_ms: self.expires_ms.saturating_sub(now_ms),
         }
@@ -441,7 +453,7 @@
     u32::try_from(program.len()).unwrap_or(u32::MAX / 2) + RESERVATION_FRAME_BYTES
 }
 
-/// Whether one time of expiry is as good as another.
-fn reaches(expires_ms: u64, wanted_ms: u64) -> bool {
-    expires_ms + EXPIRY_GRAIN_MS >= wanted_ms
+/// Whether an expiry is at least the wanted one, within [`EXPIRY_TOLERANCE_MS`].
+fn lasts_until(expires_ms: u64, wanted_ms: u64) -> bool {
+    expires_ms + EXPIRY_TOLERANCE_MS >= wanted_ms
 }
--- a/crates/courseshed-records/src/segments.rs
+++ b/crates/courseshed-records/src/segments.rs
@@ -1,8 +1,8 @@
-//! The files of a store: numbered segments of checksummed frames, written at the end of the newest only.
+//! Append-only segment files of a store, which contain checksummed frames.
 //!
-//! A segment is never changed once a newer one is begun, and goes as a whole. A torn end of any segment
-//! is passed over: what was acknowledged stands before it. Segments are read in pieces, whatever their
-//! size.
+//! Only the newest segment is written to, and segments are deleted as a whole. A torn frame at the
+//! end of a segment is skipped on start: acknowledged records precede it. Segments are read with a
+//! buffer of fixed size.
 
 use std::collections::BTreeMap;
 use std::fs::{self, File, OpenOptions};
@@ -18,33 +18,33 @@
 
 const IDENTITY_FILE: &str = "identity";
 const SEGMENT_PREFIX: &str = "records-";
-/// Size of the pieces in which segments are read at a start, in bytes.
-const READ_BYTES: usize = 64 * 1024;
+/// Buffer size for reading segments on start.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
 
-/// A file of a store can't be used.
+/// An operation on a file of a store failed.
 #[derive(Debug, Snafu)]
-#[snafu(display("can't {operation} {}: {source}", path.display()))]
+#[snafu(display("failed to {operation} {}: {source}", path.display()))]
 pub struct JournalError {
-    /// What was tried.
+    /// The failed operation.
     operation: &'static str,
-    /// On which file.
+    /// The file or directory.
     path: PathBuf,
-    /// What the system said.
+    /// The error of the operating system.
     source: io::Error,
 }
 
-/// A record with the time of day at which it was written down, in milliseconds.
+/// A record with the wall-clock time at which it was written.
 #[derive(Debug, Deserialize)]
-pub(crate) struct Stamped {
-    /// The time of day.
+pub(crate) struct TimestampedRecord {
+    /// Time of the write in Unix milliseconds.
     pub at_ms: u64,
     /// The record.
     pub entry: PartitionRecord,
 }
 
-/// A [`Stamped`] to be written.
+/// Borrowed form of [`TimestampedRecord`] for encoding.
 #[derive(Serialize)]
-struct StampedRef<'a> {
+struct TimestampedRecordRef<'a> {
     at_ms: u64,
     entry: &'a PartitionRecord,
 }
@@ -60,128 +60,127 @@
     bytes: u64,
 }
 
-/// The open files of a store.
+/// The open segment files of a store.
 #[derive(Debug)]
 pub(crate) struct Segments {
-    folder: PathBuf,
+    dir: PathBuf,
     incarnation: u64,
     segments: BTreeMap<SegmentNumber, Segment>,
-    /// The segment that is written to; none before the first record of this life of the process, and
-    /// after a failed write.
-    head: Option<SegmentNumber>,
+    /// The segment that is appended to. `None` before the first write of this process and after a
+    /// failed write.
+    active: Option<SegmentNumber>,
     segment_bytes: u64,
 }
 
 impl Segments {
-    /// Opens the files of a folder, and passes all their records on in the order of the files. An
-    /// empty folder becomes that of `incarnation_if_new`. Another segment is begun after each
-    /// `segment_bytes`.
+    /// Opens the segments of a directory and passes their records to `on_record` in file order. An
+    /// empty directory is assigned `new_incarnation`. A new segment is due after `segment_bytes`.
     ///
     /// # Errors
-    /// [`JournalError`] when the folder can't be read or written.
+    /// [`JournalError`] if the directory cannot be read or written.
     pub(crate) fn open(
-        folder: PathBuf,
-        incarnation_if_new: u64,
+        dir: PathBuf,
+        new_incarnation: u64,
         segment_bytes: u64,
-        mut take: impl FnMut(Stamped, Location),
+        mut on_record: impl FnMut(TimestampedRecord, Location),
     ) -> Result<Self, JournalError> {
-        at(fs::create_dir_all(&folder), "create", &folder)?;
-        let incarnation = read_identity(&folder, incarnation_if_new)?;
+        with_path(fs::create_dir_all(&dir), "create", &dir)?;
+        let incarnation = read_identity(&dir, new_incarnation)?;
         let mut segments = BTreeMap::new();
-        for number in segment_numbers(&folder)? {
-            let path = segment_path(&folder, number);
-            let file = at(File::open(&path), "open", &path)?;
-            let bytes = at(file.metadata(), "measure", &path)?.len();
-            let whole = read_segment(&file, &path, number, bytes, &mut take)?;
-            if whole < bytes {
-                log::warn!(event = "torn_end", file:% = path.display(), whole_bytes = whole, passed_over_bytes = bytes - whole; "passed over the end of a file, which holds no whole record");
+        for number in segment_numbers(&dir)? {
+            let path = segment_path(&dir, number);
+            let file = with_path(File::open(&path), "open", &path)?;
+            let bytes = with_path(file.metadata(), "stat", &path)?.len();
+            let valid_bytes = read_segment(&file, &path, number, bytes, &mut on_record)?;
+            if valid_bytes < bytes {
+                log::warn!(event = "torn_end", file:% = path.display(), whole_bytes = valid_bytes, passed_over_bytes = bytes - valid_bytes; "skipped an incomplete record at the end of a segment");
             }
             segments.insert(number, Segment { file, bytes });
         }
         Ok(Self {
-            folder,
+            dir,
             incarnation,
             segments,
-            head: None,
+            active: None,
             segment_bytes,
         })
     }
 
-    /// The life of this disk.
+    /// Incarnation of the disk.
     pub(crate) fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// Size of all segments, in bytes.
+    /// Total size of the segments in bytes.
     pub(crate) fn bytes(&self) -> u64 {
         self.segments.values().map(|segment| segment.bytes).sum()
     }
 
-    /// The segments that are written no more, with their sizes in bytes.
+    /// Segments that are no longer appended to, with their sizes in bytes.
     pub(crate) fn sealed(&self) -> impl Iterator<Item = (SegmentNumber, u64)> {
         let sealed = self.segments.iter();
         sealed
-            .filter(|(number, _)| Some(**number) != self.head)
+            .filter(|(number, _)| Some(**number) != self.active)
             .map(|(number, segment)| (*number, segment.bytes))
     }
 
-    /// How many segments there are.
+    /// Number of segments.
     pub(crate) fn count(&self) -> usize {
         self.segments.len()
     }
 
-    /// Whether the next records need a new segment, see [`Self::begin`].
-    pub(crate) fn needs_new(&self) -> bool {
-        let head = self.head.and_then(|head| self.segments.get(&head));
-        head.is_none_or(|head| head.bytes >= self.segment_bytes)
+    /// Whether the next write requires a new segment, see [`Self::start_segment`].
+    pub(crate) fn needs_new_segment(&self) -> bool {
+        let active = self.active.and_then(|active| self.segments.get(&active));
+        active.is_none_or(|active| active.bytes >= self.segment_bytes)
     }
 
-    /// Begins a new segment with records that every segment is to begin with.
+    /// Starts a new segment and writes its initial records.
     ///
     /// # Errors
-    /// [`JournalError`]: there is no segment to write to.
-    pub(crate) fn begin(
+    /// [`JournalError`]: there is no segment to append to.
+    pub(crate) fn start_segment(
         &mut self,
         at_ms: u64,
-        first: &[PartitionRecord],
+        initial_records: &[PartitionRecord],
     ) -> Result<(), JournalError> {
-        self.head = None;
+        self.active = None;
         let newest = self.segments.last_key_value();
         let number = SegmentNumber(newest.map_or(0, |(newest, _)| newest.0) + 1);
-        let path = segment_path(&self.folder, number);
+        let path = segment_path(&self.dir, number);
         let mut options = OpenOptions::new();
         let options = options.create(true).read(true).append(true);
-        let file = at(options.open(&path), "create", &path)?;
-        at(file.sync_all(), "flush", &path)?;
-        at(flush_folder(&self.folder), "flush", &self.folder)?;
+        let file = with_path(options.open(&path), "create", &path)?;
+        with_path(file.sync_all(), "sync", &path)?;
+        with_path(sync_dir(&self.dir), "sync", &self.dir)?;
         self.segments.insert(number, Segment { file, bytes: 0 });
-        self.head = Some(number);
-        if first.is_empty() {
+        self.active = Some(number);
+        if initial_records.is_empty() {
             return Ok(());
         }
-        self.append(at_ms, first).map(|_| ())
+        self.append(at_ms, initial_records).map(|_| ())
     }
 
-    /// Writes records to the newest segment, flushes them, and tells where they stand. After an error
-    /// the next records need a new segment.
+    /// Appends records to the active segment, syncs it, and returns their locations. After an error
+    /// a new segment is required.
     ///
     /// # Errors
-    /// [`JournalError`]: some of the records may be on disk, none may be acknowledged.
+    /// [`JournalError`]: some records may be on disk, but none may be acknowledged.
     pub(crate) fn append(
         &mut self,
         at_ms: u64,
         records: &[PartitionRecord],
     ) -> Result<Vec<Location>, JournalError> {
-        let number = self.head.unwrap_or_default();
-        let path = segment_path(&self.folder, number);
+        let number = self.active.unwrap_or_default();
+        let path = segment_path(&self.dir, number);
         let Some(segment) = self.segments.get_mut(&number) else {
             let missing = Err(io::Error::from(io::ErrorKind::NotFound));
-            return at(missing, "write", &path);
+            return with_path(missing, "write", &path);
         };
         let mut content = Vec::new();
         let mut locations = Vec::with_capacity(records.len());
         for entry in records {
-            let encoded = frame::encode(&StampedRef { at_ms, entry });
+            let encoded = frame::encode(&TimestampedRecordRef { at_ms, entry });
             locations.push(Location {
                 segment: number,
                 offset: segment.bytes + content.len() as u64,
@@ -189,99 +188,100 @@
             });
             content.extend_from_slice(&encoded);
         }
-        let written = at(segment.file.write_all(&content), "write", &path)
-            .and_then(|()| at(segment.file.sync_data(), "flush", &path));
+        let written = with_path(segment.file.write_all(&content), "write", &path)
+            .and_then(|()| with_path(segment.file.sync_data(), "sync", &path));
         if written.is_err() {
-            // How much of it stands there is not known: the size is read anew for the accounts.
+            // A partial write may have extended the file: read the size again for the disk usage.
             segment.bytes = segment
                 .file
                 .metadata()
                 .map_or(segment.bytes + content.len() as u64, |it| it.len());
-            self.head = None;
+            self.active = None;
         } else {
             segment.bytes += content.len() as u64;
         }
         written.map(|()| locations)
     }
 
-    /// Reads the turn of a record.
+    /// Reads a stored turn.
     ///
     /// # Errors
-    /// [`JournalError`] when it can't be read, or is not what was written.
+    /// [`JournalError`] if the read fails or the frame is corrupt.
     pub(crate) fn read_turn(&self, location: Location) -> Result<Turn, JournalError> {
-        let path = segment_path(&self.folder, location.segment);
+        let path = segment_path(&self.dir, location.segment);
         let Some(segment) = self.segments.get(&location.segment) else {
             let missing = Err(io::Error::from(io::ErrorKind::NotFound));
-            return at(missing, "read", &path);
+            return with_path(missing, "read", &path);
         };
         let mut content = vec![0; location.length as usize];
         let read = segment.file.read_exact_at(&mut content, location.offset);
-        at(read, "read", &path)?;
+        with_path(read, "read", &path)?;
         let payload = frame::split(&content).ok().map(|(payload, _)| payload);
-        let stamped = payload.and_then(|payload| frame::decode::<Stamped>(payload).ok());
-        match stamped.map(|stamped| stamped.entry.record) {
+        let timestamped =
+            payload.and_then(|payload| frame::decode::<TimestampedRecord>(payload).ok());
+        match timestamped.map(|timestamped| timestamped.entry.record) {
             Some(Record::Keep { turn, .. }) => Ok(turn),
             _ => {
-                let damaged = Err(io::Error::from(io::ErrorKind::InvalidData));
-                at(damaged, "find a turn in", &path)
+                let corrupt = Err(io::Error::from(io::ErrorKind::InvalidData));
+                with_path(corrupt, "decode a turn in", &path)
             }
         }
     }
 
-    /// Removes a segment of which nothing is needed any more.
+    /// Deletes a segment that has no live records.
     ///
     /// # Errors
-    /// [`JournalError`]: it is still there.
+    /// [`JournalError`]: the segment was not deleted.
     pub(crate) fn remove(&mut self, number: SegmentNumber) -> Result<(), JournalError> {
-        let path = segment_path(&self.folder, number);
-        at(fs::remove_file(&path), "remove", &path)?;
+        let path = segment_path(&self.dir, number);
+        with_path(fs::remove_file(&path), "remove", &path)?;
         self.segments.remove(&number);
         Ok(())
     }
 }
 
-fn read_identity(folder: &Path, incarnation_if_new: u64) -> Result<u64, JournalError> {
-    let path = folder.join(IDENTITY_FILE);
-    let kept = match fs::read(&path) {
+fn read_identity(dir: &Path, new_incarnation: u64) -> Result<u64, JournalError> {
+    let path = dir.join(IDENTITY_FILE);
+    let stored = match fs::read(&path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => None,
         content => {
-            let content = at(content, "read", &path)?;
+            let content = with_path(content, "read", &path)?;
             let payload = frame::split(&content).ok();
             payload.and_then(|(payload, _)| frame::decode::<Identity>(payload).ok())
         }
     };
-    if let Some(identity) = kept {
+    if let Some(identity) = stored {
         return Ok(identity.incarnation);
     }
-    // Without a whole identity nothing was ever acknowledged from this folder.
-    for number in segment_numbers(folder)? {
-        let segment = segment_path(folder, number);
-        at(fs::remove_file(&segment), "remove", &segment)?;
+    // No record was acknowledged before a valid identity was written, so the segments are stale.
+    for number in segment_numbers(dir)? {
+        let segment = segment_path(dir, number);
+        with_path(fs::remove_file(&segment), "remove", &segment)?;
     }
     let identity = Identity {
-        incarnation: incarnation_if_new,
+        incarnation: new_incarnation,
     };
-    let mut file = at(File::create(&path), "create", &path)?;
-    at(file.write_all(&frame::encode(&identity)), "write", &path)?;
-    at(file.sync_all(), "flush", &path)?;
-    at(flush_folder(folder), "flush", folder)?;
-    Ok(incarnation_if_new)
+    let mut file = with_path(File::create(&path), "create", &path)?;
+    with_path(file.write_all(&frame::encode(&identity)), "write", &path)?;
+    with_path(file.sync_all(), "sync", &path)?;
+    with_path(sync_dir(dir), "sync", dir)?;
+    Ok(new_incarnation)
 }
 
-/// Passes the whole records of a segment on, one after the other, and tells how many bytes they take.
+/// Passes the valid records of a segment to `on_record` and returns their total size in bytes.
 fn read_segment(
     file: &File,
     path: &Path,
     segment: SegmentNumber,
     bytes: u64,
-    take: &mut impl FnMut(Stamped, Location),
+    on_record: &mut impl FnMut(TimestampedRecord, Location),
 ) -> Result<u64, JournalError> {
-    let mut reader = BufReader::with_capacity(READ_BYTES, file);
+    let mut reader = BufReader::with_capacity(READ_BUFFER_BYTES, file);
     let mut offset = 0;
     let mut content = Vec::new();
     while bytes - offset >= frame::HEADER_BYTES as u64 {
         let mut header = [0; frame::HEADER_BYTES];
-        at(reader.read_exact(&mut header), "read", path)?;
+        with_path(reader.read_exact(&mut header), "read", path)?;
         let size = frame::size_told_by(&header).ok();
         let Some(size) = size.filter(|size| *size <= bytes - offset) else {
             break;
@@ -292,11 +292,11 @@
         let read = Read::by_ref(&mut reader)
             .take(payload)
             .read_to_end(&mut content);
-        at(read, "read", path)?;
+        with_path(read, "read", path)?;
         let Ok((payload, _)) = frame::split(&content) else {
             break;
         };
-        let Ok(stamped) = frame::decode::<Stamped>(payload) else {
+        let Ok(timestamped) = frame::decode::<TimestampedRecord>(payload) else {
             break;
         };
         let location = Location {
@@ -304,20 +304,20 @@
             offset,
             length: u32::try_from(size).unwrap_or(u32::MAX),
         };
-        take(stamped, location);
+        on_record(timestamped, location);
         offset += size;
     }
     Ok(offset)
 }
 
-fn segment_path(folder: &Path, number: SegmentNumber) -> PathBuf {
-    folder.join(format!("{SEGMENT_PREFIX}{:08}", number.0))
+fn segment_path(dir: &Path, number: SegmentNumber) -> PathBuf {
+    dir.join(format!("{SEGMENT_PREFIX}{:08}", number.0))
 }
 
-fn segment_numbers(folder: &Path) -> Result<Vec<SegmentNumber>, JournalError> {
+fn segment_numbers(dir: &Path) -> Result<Vec<SegmentNumber>, JournalError> {
     let mut numbers = Vec::new();
-    for entry in at(fs::read_dir(folder), "list", folder)? {
-        let name = at(entry, "list", folder)?.file_name();
+    for entry in with_path(fs::read_dir(dir), "list", dir)? {
+        let name = with_path(entry, "list", dir)?.file_name();
         let number = name
             .to_str()
             .and_then(|name| name.strip_prefix(SEGMENT_PREFIX));
@@ -328,10 +328,14 @@
     Ok(numbers)
 }
 
-fn flush_folder(folder: &Path) -> io::Result<()> {
-    File::open(folder)?.sync_all()
+fn sync_dir(dir: &Path) -> io::Result<()> {
+    File::open(dir)?.sync_all()
 }
 
-fn at<T>(result: io::Result<T>, operation: &'static str, path: &Path) -> Result<T, JournalError> {
+fn with_path<T>(
+    result: io::Result<T>,
+    operation: &'static str,
+    path: &Path,
+) -> Result<T, JournalError> {
     result.context(JournalSnafu { operation, path })
 }
--- a/crates/courseshed-records/src/simulation.rs
+++ b/crates/courseshed-records/src/simulation.rs
@@ -13,8 +13,8 @@
 use rand_chacha::ChaCha8Rng;
 
 use crate::{
-    ExportCursor, KeptEntry, Location, MissTally, Record, RecordReplica, RecordView,
-    ReservationDecision, ReservationTally, StoreMachine, Turn, ViewPlan, WriteTally, plan_view,
+    ExportCursor, Location, MissTally, Record, RecordReplica, RecordView, ReservationDecision,
+    ReservationTally, StoreMachine, StoredEntry, Turn, ViewPlan, WriteTally, plan_view,
 };
 
 const STEPS: usize = 400;
@@ -194,10 +194,10 @@
 }
 
 /// Reads an exported entry from the files, which a turn's place alone decides.
-fn read(entry: KeptEntry) -> (Record, Location) {
+fn read(entry: StoredEntry) -> (Record, Location) {
     match entry {
-        KeptEntry::Reservation(record) => (record, Location::default()),
-        KeptEntry::Turn { location, keep_ms } => {
+        StoredEntry::Reservation(record) => (record, Location::default()),
+        StoredEntry::Turn { location, keep_ms } => {
             let turn = turn(location.offset);
             (Record::Keep { turn, keep_ms }, location)
         }
--- a/crates/courseshed-records/src/store.rs
+++ b/crates/courseshed-records/src/store.rs
@@ -1,11 +1,11 @@
-//! A store's records: an index in memory, the records themselves in segments on disk.
+//! Record store: an in-memory index over records in segment files.
 //!
 //! Invariants:
-//! - The index holds only what is flushed to disk, so every answer is about what would survive.
-//! - Memory is bounded by the index, the cache and one piece of work, whatever the files hold.
-//! - Files give their space back while the store runs: a segment of which little is needed any more is
-//!   emptied in pieces of bounded size, its needed records written anew, and then removed. A store that
-//!   ends in between has some records twice, which comes to the same.
+//! - The index only contains records that were synced to disk, so replies reflect durable state.
+//! - Memory is bounded by the index, the cache and one compaction step, whatever the file sizes.
+//! - Disk space is reclaimed at runtime: a segment with few live records is compacted in bounded
+//!   steps, which copy its live records to the active segment, and is then deleted. A crash during
+//!   compaction leaves duplicate records, which are harmless.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -15,109 +15,105 @@
 use crate::segments::{JournalError, Segments};
 use crate::turn_cache::TurnCache;
 use crate::{
-    ChainError, EntryKey, ExportCursor, ExportPage, KeptEntry, Location, PartitionId,
-    PartitionRecord, PartitionTables, Record, Reserved, SegmentNumber, Turn,
+    ChainError, EntryKey, ExportCursor, ExportPage, Location, PartitionId, PartitionRecord,
+    PartitionTables, Record, Reserved, SegmentNumber, StoredEntry, Turn,
 };
 
-/// Least size at which another segment is begun, in bytes: 5 to 10 s of writing at the rates that were
-/// played (0.4 to 0.9 MB/s a store), a small part of the time for which turns are kept.
-const LEAST_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
-/// Segments that a full disk may hold: each takes a descriptor, of which machines have some thousands.
-const MOST_SEGMENTS: u64 = 256;
-/// A segment is emptied once less than one in this many of its bytes is needed: what is written anew is
-/// then at most a third of what is freed, and files take at most four times what is kept.
-const CLEAN_BELOW_ONE_IN: u64 = 4;
-/// Bytes written anew in one step: some milliseconds of the smallest disks that were played (120 MB/s),
-/// so that requests wait no longer than for a few flushes.
-const CLEAN_STEP_BYTES: u64 = 256 * 1024;
-/// The part of the disk, in hundredths, beyond which segments are emptied that are needed more.
-const CROWDED_PERCENT: u64 = 70;
-/// The part of the disk, in hundredths, beyond which the store takes no new reservations. The rest is
-/// for turns that are under way, which is much more than one retention of them.
-const FULL_PERCENT: u64 = 85;
-/// What the index takes of memory for a turn, in bytes: ids of 16 to 40 characters, twice, and the
-/// nodes of the tables (worked out from the types, and seen in `tests/steady_state.rs`).
-const INDEX_BYTES_OF_TURN: u64 = 320;
-/// What the index takes of memory for a reservation with its part of the program, in bytes.
-const INDEX_BYTES_OF_RESERVATION: u64 = 160;
-/// The part of the machine's memory that the cache takes: one in this many. On a day of 92 s with machines
-/// of 130 MB a cache of twice the size missed 1 turn of 38,000.
-const CACHE_OF_MEMORY: u64 = 16;
-/// The part of the machine's memory that the index may take: one in this many.
-const INDEX_OF_MEMORY: u64 = 3;
+/// Minimum segment size.
+const MIN_SEGMENT_BYTES: u64 = 4 * 1024 * 1024;
+/// Maximum number of segments of a full disk, since each one holds a file descriptor.
+const MAX_SEGMENTS: u64 = 256;
+/// Segments are compacted once less than one part in this many is live. A compaction then copies at
+/// most a third of the bytes it frees, and files take at most four times the live bytes.
+const COMPACTION_LIVE_DIVISOR: u64 = 4;
+/// Bytes copied per compaction step. Bounds the time that requests wait for a step.
+const COMPACTION_STEP_BYTES: u64 = 256 * 1024;
+/// Disk usage in percent above which segments with more live bytes are compacted too.
+const HIGH_USAGE_PERCENT: u64 = 70;
+/// Disk usage in percent above which the store accepts no new reservations. The rest is reserved
+/// for turns in progress.
+const FULL_USAGE_PERCENT: u64 = 85;
+/// Estimated index memory per turn.
+const INDEX_BYTES_PER_TURN: u64 = 320;
+/// Estimated index memory per reservation, including its share of the program.
+const INDEX_BYTES_PER_RESERVATION: u64 = 160;
+/// The cache may use one part in this many of the memory.
+const CACHE_MEMORY_DIVISOR: u64 = 16;
+/// The index may use one part in this many of the memory.
+const INDEX_MEMORY_DIVISOR: u64 = 3;
 
-/// What a store may use.
+/// Resource limits of a store.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StoreLimits {
-    /// Memory of the process, in bytes.
+    /// Memory of the process in bytes.
     pub memory_bytes: u64,
-    /// Size of the disk, in bytes; none if it is not known.
+    /// Size of the disk in bytes; `None` if unknown.
     pub disk_bytes: Option<u64>,
-    /// Size at which another file is begun, in bytes.
+    /// Size in bytes at which a new segment is started.
     pub segment_bytes: u64,
 }
 
 impl StoreLimits {
-    /// The limits of a machine, with files that fit them.
+    /// Limits for a machine, with a segment size that suits its disk.
     #[must_use]
     pub fn of_machine(memory_bytes: u64, disk_bytes: Option<u64>) -> Self {
         Self {
             memory_bytes,
             disk_bytes,
-            segment_bytes: LEAST_SEGMENT_BYTES.max(disk_bytes.unwrap_or(0) / MOST_SEGMENTS),
+            segment_bytes: MIN_SEGMENT_BYTES.max(disk_bytes.unwrap_or(0) / MAX_SEGMENTS),
         }
     }
 }
 
-/// Why a chain of turns can't be read.
+/// Reasons why a chain of turns cannot be read.
 #[derive(Debug, Snafu)]
 pub enum ReadError {
-    /// It isn't whole here.
+    /// A turn of the chain is not stored.
     #[snafu(display("{source}"), context(false))]
     Chain {
-        /// What is missing.
+        /// The missing turn.
         source: ChainError,
     },
-    /// A file can't be read.
+    /// A file cannot be read.
     #[snafu(display("{source}"), context(false))]
     File {
-        /// Why not.
+        /// The failed operation.
         source: JournalError,
     },
 }
 
-/// What a store holds and uses.
+/// Contents and resource usage of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StoreFigures {
-    /// Turns that are kept.
+    /// Stored turns.
     pub turns: u64,
-    /// Reservations that are kept.
+    /// Stored reservations.
     pub reservations: u64,
-    /// Partitions that something is known of.
+    /// Partitions with records.
     pub partitions: u64,
-    /// Files.
+    /// Segment files.
     pub segments: u64,
-    /// Size of the files, in bytes.
+    /// Size of the segment files in bytes.
     pub file_bytes: u64,
-    /// What is needed of that, in bytes, when it was counted last.
+    /// Bytes of live records as of the last expiry run.
     pub live_bytes: u64,
-    /// What the index takes of memory, in bytes, estimated.
+    /// Estimated memory of the index in bytes.
     pub index_bytes: u64,
-    /// What the cache takes of memory, in bytes.
+    /// Memory of the cache in bytes.
     pub cache_bytes: u64,
-    /// Turns read from the cache since the start.
+    /// Turns read from the cache since start.
     pub cache_hits: u64,
-    /// Turns read from files since the start.
+    /// Turns read from files since start.
     pub cache_misses: u64,
-    /// Bytes written anew to empty segments since the start.
+    /// Bytes copied by compaction since start.
     pub carried_bytes: u64,
 }
 
-/// A segment that is being emptied.
+/// A compaction in progress.
 #[derive(Debug)]
-struct Cleaning {
+struct Compaction {
     segment: SegmentNumber,
-    left: Vec<(PartitionId, EntryKey)>,
+    remaining: Vec<(PartitionId, EntryKey)>,
 }
 
 /// The records of one store.
@@ -127,66 +123,66 @@
     tables: PartitionTables,
     cache: TurnCache,
     limits: StoreLimits,
-    cleaning: Option<Cleaning>,
-    /// Bytes needed of each segment, as counted last.
-    live: BTreeMap<SegmentNumber, u64>,
-    /// A segment that couldn't be emptied since a record of it can't be read.
-    unreadable: Vec<SegmentNumber>,
+    compaction: Option<Compaction>,
+    /// Live bytes of each segment as of the last expiry run.
+    live_bytes_by_segment: BTreeMap<SegmentNumber, u64>,
+    /// Segments whose compaction failed because a record is unreadable.
+    unreadable_segments: Vec<SegmentNumber>,
     figures: StoreFigures,
 }
 
 impl RecordStore {
-    /// Opens the files of a folder. An empty folder becomes that of `incarnation_if_new`.
+    /// Opens the segments of a directory. An empty directory is assigned `new_incarnation`.
     ///
     /// # Errors
-    /// [`JournalError`] when the folder can't be read or written.
+    /// [`JournalError`] if the directory cannot be read or written.
     pub fn open(
-        folder: impl Into<PathBuf>,
-        incarnation_if_new: u64,
+        dir: impl Into<PathBuf>,
+        new_incarnation: u64,
         limits: StoreLimits,
         now_ms: u64,
     ) -> Result<Self, JournalError> {
         let mut tables = PartitionTables::default();
         let segments = Segments::open(
-            folder.into(),
-            incarnation_if_new,
+            dir.into(),
+            new_incarnation,
             limits.segment_bytes,
-            |stamped, location| tables.apply(stamped.at_ms, &stamped.entry, location),
+            |timestamped, location| tables.apply(timestamped.at_ms, &timestamped.entry, location),
         )?;
-        let cache_bytes = limits.memory_bytes / CACHE_OF_MEMORY;
+        let cache_bytes = limits.memory_bytes / CACHE_MEMORY_DIVISOR;
         let mut store = Self {
             segments,
             tables,
             cache: TurnCache::new(usize::try_from(cache_bytes).unwrap_or(usize::MAX)),
             limits,
-            cleaning: None,
-            live: BTreeMap::new(),
-            unreadable: Vec::new(),
+            compaction: None,
+            live_bytes_by_segment: BTreeMap::new(),
+            unreadable_segments: Vec::new(),
             figures: StoreFigures::default(),
         };
         store.expire(now_ms);
         Ok(store)
     }
 
-    /// The life of this disk.
+    /// Incarnation of the disk.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.segments.incarnation()
     }
 
-    /// The newest epoch of a partition that this store has moved to.
+    /// The newest epoch that this store has adopted for a partition.
     #[must_use]
     pub fn epoch(&self, partition: PartitionId) -> u64 {
         self.tables.epoch(partition)
     }
 
-    /// What is kept of all partitions.
+    /// The indexes of all partitions.
     #[must_use]
     pub fn tables(&self) -> &PartitionTables {
         &self.tables
     }
 
-    /// What the store holds and uses.
+    /// Contents and resource usage of the store.
     #[must_use]
     pub fn figures(&self) -> StoreFigures {
         StoreFigures {
@@ -197,35 +193,35 @@
         }
     }
 
-    /// Whether disk or memory has no room for more programs.
+    /// Whether disk or memory usage is too high to accept new programs.
     #[must_use]
     pub fn is_full(&self) -> bool {
-        let is_disk_full = self.is_beyond(FULL_PERCENT);
-        let most_index = self.limits.memory_bytes / INDEX_OF_MEMORY;
-        is_disk_full || self.figures.index_bytes > most_index
+        let is_disk_full = self.is_disk_usage_above(FULL_USAGE_PERCENT);
+        let max_index_bytes = self.limits.memory_bytes / INDEX_MEMORY_DIVISOR;
+        is_disk_full || self.figures.index_bytes > max_index_bytes
     }
 
-    /// Writes records down and flushes them, less what is known already.
+    /// Appends and syncs records, except those that would change nothing.
     ///
     /// # Errors
-    /// [`JournalError`]: some of the records may be on disk, none may be acknowledged.
+    /// [`JournalError`]: some records may be on disk, but none may be acknowledged.
     pub fn write(
         &mut self,
         now_ms: u64,
         records: Vec<PartitionRecord>,
     ) -> Result<(), JournalError> {
-        let mut news: Vec<PartitionRecord> = records
+        let mut new_records: Vec<PartitionRecord> = records
             .into_iter()
-            .filter(|entry| !self.knows(now_ms, entry))
+            .filter(|entry| !self.is_redundant(now_ms, entry))
             .collect();
-        if news.is_empty() {
+        if new_records.is_empty() {
             return Ok(());
         }
-        for entry in &mut news {
-            self.keep_settlement_as_long_as_program(now_ms, entry);
+        for entry in &mut new_records {
+            self.extend_settlement_retention(now_ms, entry);
         }
-        let locations = self.append(now_ms, &news)?;
-        for (entry, location) in news.into_iter().zip(locations) {
+        let locations = self.append(now_ms, &new_records)?;
+        for (entry, location) in new_records.into_iter().zip(locations) {
             self.tables.apply(now_ms, &entry, location);
             if let Record::Keep { turn, .. } = entry.record {
                 self.cache.insert(location, turn);
@@ -234,31 +230,33 @@
         Ok(())
     }
 
-    /// What is reserved for a program and what it was given.
+    /// The reservations of a program.
     #[must_use]
     pub fn reserved(&self, partition: PartitionId, program: &str) -> Vec<Reserved> {
         let replica = self.tables.replica(partition);
         replica.map_or_else(Vec::new, |replica| replica.reserved(program))
     }
 
-    /// A turn and all that it goes on from, the oldest first.
+    /// Reads a turn and all of its ancestors, the oldest first.
     ///
     /// # Errors
-    /// [`ReadError`] when one of them is not here or can't be read.
+    /// [`ReadError`] if one of them is not stored or cannot be read.
     pub fn chain(&mut self, partition: PartitionId, id: &str) -> Result<Vec<Turn>, ReadError> {
         let Some(replica) = self.tables.replica(partition) else {
             let id = id.to_owned();
             return Err(ChainError::Missing { id }.into());
         };
         let locations = replica.chain(id)?;
-        let turns = locations.into_iter().map(|location| self.turn(location));
+        let turns = locations
+            .into_iter()
+            .map(|location| self.read_turn(location));
         Ok(turns.collect::<Result<_, _>>()?)
     }
 
-    /// A piece of all that is kept of a partition, of about `limit_bytes`, for a replica that joins.
+    /// Reads a page of about `limit_bytes` of a partition, for catch-up of a joining replica.
     ///
     /// # Errors
-    /// [`JournalError`] when a turn can't be read.
+    /// [`JournalError`] if a turn cannot be read.
     pub fn export(
         &self,
         partition: PartitionId,
@@ -274,17 +272,17 @@
         };
         let page = replica.export(now_ms, cursor, limit_bytes);
         let entries = page.entries.into_iter();
-        let records = entries.map(|entry| self.record_of(entry));
+        let records = entries.map(|entry| self.load_record(entry));
         Ok(ExportPage {
             records: records.collect::<Result<_, _>>()?,
             next: page.next,
         })
     }
 
-    /// Drops what need not be kept at a time of day, and counts what the files are needed for.
+    /// Removes expired records from the index and recomputes the live bytes of each segment.
     pub fn expire(&mut self, now_ms: u64) {
         self.tables.expire(now_ms);
-        self.live.clear();
+        self.live_bytes_by_segment.clear();
         let mut figures = StoreFigures {
             turns: 0,
             reservations: 0,
@@ -293,98 +291,102 @@
             ..self.figures
         };
         for (_, replica) in self.tables.replicas() {
-            replica.count_live(|segment, bytes| {
-                *self.live.entry(segment).or_default() += bytes;
+            replica.for_each_live_record(|segment, bytes| {
+                *self.live_bytes_by_segment.entry(segment).or_default() += bytes;
                 figures.live_bytes += bytes;
             });
             figures.partitions += 1;
             figures.turns += replica.turns() as u64;
             figures.reservations += replica.reservations() as u64;
         }
-        figures.index_bytes =
-            figures.turns * INDEX_BYTES_OF_TURN + figures.reservations * INDEX_BYTES_OF_RESERVATION;
+        figures.index_bytes = figures.turns * INDEX_BYTES_PER_TURN
+            + figures.reservations * INDEX_BYTES_PER_RESERVATION;
         self.figures = figures;
     }
 
-    /// Does one piece of the work that gives space back; false when nothing is left to do.
+    /// Runs one compaction step. Returns false if there is nothing to compact.
     ///
     /// # Errors
-    /// [`JournalError`] when a file can't be read, written or removed. What is kept is unharmed.
+    /// [`JournalError`] if a file cannot be read, written or deleted. No records are lost.
     pub fn clean(&mut self, now_ms: u64) -> Result<bool, JournalError> {
-        let Some(cleaning) = self.cleaning.take().or_else(|| self.next_cleaning()) else {
+        let Some(compaction) = self.compaction.take().or_else(|| self.plan_compaction()) else {
             return Ok(false);
         };
-        // After an error it is begun anew: what was still to be carried on is then looked up again.
-        self.cleaning = self.carry_on(now_ms, cleaning)?;
+        // After an error the compaction restarts, which looks the remaining keys up again.
+        self.compaction = self.compact_step(now_ms, compaction)?;
         Ok(true)
     }
 
-    /// Writes a part of what is needed of a segment anew, and removes the segment if that was all.
-    fn carry_on(
+    /// Copies some live records of a segment, and deletes the segment after the last ones.
+    fn compact_step(
         &mut self,
         now_ms: u64,
-        mut cleaning: Cleaning,
-    ) -> Result<Option<Cleaning>, JournalError> {
-        let segment = cleaning.segment;
+        mut compaction: Compaction,
+    ) -> Result<Option<Compaction>, JournalError> {
+        let segment = compaction.segment;
         let mut keys = Vec::new();
         let mut records = Vec::new();
         let mut bytes = 0;
-        while bytes < CLEAN_STEP_BYTES
-            && let Some((partition, key)) = cleaning.left.pop()
+        while bytes < COMPACTION_STEP_BYTES
+            && let Some((partition, key)) = compaction.remaining.pop()
         {
             let replica = self.tables.replica(partition);
-            let entry = replica.and_then(|replica| replica.entry_in(segment, &key, now_ms));
+            let entry = replica.and_then(|replica| replica.entry_in_segment(segment, &key, now_ms));
             let Some(entry) = entry else {
                 continue;
             };
             bytes += match &entry {
-                KeptEntry::Turn { location, .. } => u64::from(location.length),
-                KeptEntry::Reservation(_) => INDEX_BYTES_OF_RESERVATION,
+                StoredEntry::Turn { location, .. } => u64::from(location.length),
+                StoredEntry::Reservation(_) => INDEX_BYTES_PER_RESERVATION,
             };
-            let record = self.record_of(entry).inspect_err(|_| {
-                // A bad record must not be asked for in each step; a restart tries it once more.
-                self.unreadable.push(segment);
+            let record = self.load_record(entry).inspect_err(|_| {
+                // Do not retry an unreadable record in each step. A restart tries it again.
+                self.unreadable_segments.push(segment);
             })?;
             records.push(PartitionRecord { partition, record });
             keys.push((partition, key));
         }
-        // Also where nothing is needed any more: a newer segment must begin with the epochs first.
+        // Also if there are no live records left: a newer segment must first contain the epochs.
         let locations = self.append(now_ms, &records)?;
         for ((partition, key), location) in keys.into_iter().zip(&locations) {
             self.tables.replica_mut(partition).relocate(&key, *location);
             self.figures.carried_bytes += u64::from(location.length);
         }
-        if !cleaning.left.is_empty() {
-            return Ok(Some(cleaning));
+        if !compaction.remaining.is_empty() {
+            return Ok(Some(compaction));
         }
         self.segments.remove(segment)?;
-        self.live.remove(&segment);
+        self.live_bytes_by_segment.remove(&segment);
         Ok(None)
     }
 
-    /// The segment that is needed least, if it is worth emptying.
-    fn next_cleaning(&self) -> Option<Cleaning> {
+    /// Starts a compaction of the segment with the smallest live share, if that is worthwhile.
+    fn plan_compaction(&self) -> Option<Compaction> {
         let sealed = self.segments.sealed();
-        let candidates = sealed.filter(|(number, _)| !self.unreadable.contains(number));
-        let needed = candidates.map(|(number, bytes)| {
-            let live = self.live.get(&number).copied().unwrap_or(0);
-            (live * 100 / bytes.max(1), number)
+        let candidates = sealed.filter(|(number, _)| !self.unreadable_segments.contains(number));
+        let live_shares = candidates.map(|(number, bytes)| {
+            let live_bytes = self
+                .live_bytes_by_segment
+                .get(&number)
+                .copied()
+                .unwrap_or(0);
+            (live_bytes * 100 / bytes.max(1), number)
         });
-        let (percent, segment) = needed.min()?;
-        let most = if self.is_beyond(CROWDED_PERCENT) {
-            CROWDED_PERCENT
+        let (percent, segment) = live_shares.min()?;
+        let threshold_percent = if self.is_disk_usage_above(HIGH_USAGE_PERCENT) {
+            HIGH_USAGE_PERCENT
         } else {
-            100 / CLEAN_BELOW_ONE_IN
+            100 / COMPACTION_LIVE_DIVISOR
         };
-        if percent >= most {
+        if percent >= threshold_percent {
             return None;
         }
-        let mut left = Vec::new();
+        let mut remaining = Vec::new();
         for (partition, replica) in self.tables.replicas() {
-            let keys = replica.keys_in(segment).into_iter();
-            left.extend(keys.map(|key| (partition, key)));
+            let keys = replica.keys_in_segment(segment).into_iter();
+            remaining.extend(keys.map(|key| (partition, key)));
         }
-        Some(Cleaning { segment, left })
+        Some(Compaction { segment, remaining })
     }
 
     fn append(
@@ -392,7 +394,7 @@
         now_ms: u64,
         records: &[PartitionRecord],
     ) -> Result<Vec<Location>, JournalError> {
-        if self.segments.needs_new() {
+        if self.segments.needs_new_segment() {
             let epochs: Vec<PartitionRecord> = self
                 .tables
                 .replicas()
@@ -401,7 +403,7 @@
                     record: Record::Epoch(replica.epoch()),
                 })
                 .collect();
-            self.segments.begin(now_ms, &epochs)?;
+            self.segments.start_segment(now_ms, &epochs)?;
         }
         if records.is_empty() {
             return Ok(Vec::new());
@@ -409,23 +411,24 @@
         self.segments.append(now_ms, records)
     }
 
-    fn knows(&self, now_ms: u64, entry: &PartitionRecord) -> bool {
+    fn is_redundant(&self, now_ms: u64, entry: &PartitionRecord) -> bool {
         let replica = self.tables.replica(entry.partition);
-        replica.is_some_and(|replica| replica.knows(now_ms, &entry.record))
+        replica.is_some_and(|replica| replica.is_redundant(now_ms, &entry.record))
     }
 
-    /// A settlement that stands for its reservation in the files must keep the program as long.
-    fn keep_settlement_as_long_as_program(&self, now_ms: u64, entry: &mut PartitionRecord) {
+    /// Raises the retention of a settlement to that of its program, since it may become the live
+    /// record of the reservation.
+    fn extend_settlement_retention(&self, now_ms: u64, entry: &mut PartitionRecord) {
         if let Record::Settle {
             program, keep_ms, ..
         } = &mut entry.record
             && let Some(replica) = self.tables.replica(entry.partition)
         {
-            *keep_ms = (*keep_ms).max(replica.program_keep_ms(program, now_ms));
+            *keep_ms = (*keep_ms).max(replica.program_retention_ms(program, now_ms));
         }
     }
 
-    fn turn(&mut self, location: Location) -> Result<Turn, JournalError> {
+    fn read_turn(&mut self, location: Location) -> Result<Turn, JournalError> {
         if let Some(turn) = self.cache.get(location) {
             self.figures.cache_hits += 1;
             return Ok(turn);
@@ -436,17 +439,17 @@
         Ok(turn)
     }
 
-    fn record_of(&self, entry: KeptEntry) -> Result<Record, JournalError> {
+    fn load_record(&self, entry: StoredEntry) -> Result<Record, JournalError> {
         match entry {
-            KeptEntry::Reservation(record) => Ok(record),
-            KeptEntry::Turn { location, keep_ms } => {
+            StoredEntry::Reservation(record) => Ok(record),
+            StoredEntry::Turn { location, keep_ms } => {
                 let turn = self.segments.read_turn(location)?;
                 Ok(Record::Keep { turn, keep_ms })
             }
         }
     }
 
-    fn is_beyond(&self, percent: u64) -> bool {
+    fn is_disk_usage_above(&self, percent: u64) -> bool {
         let disk_bytes = self.limits.disk_bytes;
         disk_bytes.is_some_and(|disk| self.segments.bytes() * 100 > disk * percent)
     }
--- a/crates/courseshed-records/tests/partitions.rs
+++ b/crates/courseshed-records/tests/partitions.rs
@@ -9,7 +9,7 @@
     StoreMachine, ViewChange, plan_map,
 };
 use courseshed_types::{NodeId, ZoneMap};
-use support::{AMPLE, clean_all, open, segment_files, turn_of_size};
+use support::{AMPLE, compact_all, open, segment_files, turn_of_size};
 use tempfile::TempDir;
 
 const WANTED: usize = 5;
@@ -408,7 +408,7 @@
         store.write(0, vec![short]).expect("written");
     }
     store.expire(200);
-    clean_all(&mut store, 200);
+    compact_all(&mut store, 200);
     let segments = segment_files(folder.path()).len();
     assert_eq!(segments, 1, "the first segment is gone");
     drop(store);
--- a/crates/courseshed-records/tests/start_memory.rs
+++ b/crates/courseshed-records/tests/start_memory.rs
@@ -1,4 +1,5 @@
-//! What a start costs in memory. Alone in its file, since the peak is that of the whole process.
+//! Memory used by opening a store. A separate test binary, since it measures the peak of the
+//! process.
 
 mod support;
 
@@ -8,19 +9,19 @@
 use tempfile::TempDir;
 
 const KIB: u64 = 1024;
-/// Turns in the journal: 64 MiB of them.
+/// Number of stored turns, 64 MiB in total.
 const TURNS: usize = 4096;
 const TURN_BYTES: usize = 16 * 1024;
-const TURNS_OF_A_BATCH: usize = 64;
-/// Most that a start may take beyond what the process had: an index of the turns (some 200 bytes
-/// each) and pieces of files, but neither a file nor the turns themselves.
-const MOST_OF_A_START: u64 = 12 * MIB;
+const TURNS_PER_BATCH: usize = 64;
+/// Limit for the memory taken by opening a store: an index of some 200 bytes per turn and read
+/// buffers, but neither whole files nor the contents of turns.
+const MAX_OPEN_BYTES: u64 = 12 * MIB;
 
-/// The most memory that this process ever had, in bytes.
+/// Peak resident memory of this process in bytes.
 fn peak_memory() -> u64 {
     let status = Process::myself().and_then(|process| process.status());
-    let peak = status.expect("the process can be read").vmhwm;
-    peak.expect("the system tells the peak") * KIB
+    let peak = status.expect("process status").vmhwm;
+    peak.expect("peak resident memory") * KIB
 }
 
 fn turn(number: usize) -> PartitionRecord {
@@ -31,27 +32,27 @@
 }
 
 #[test]
-fn a_start_holds_neither_a_file_nor_the_turns_in_memory() {
-    let folder = TempDir::new().expect("a folder");
-    // Without a cache: memory that it gave back would hide what the start takes.
+fn opening_a_store_loads_neither_files_nor_turns_into_memory() {
+    let dir = TempDir::new().expect("temp dir");
+    // Without a cache, whose freed memory would mask what opening the store takes.
     let limits = StoreLimits {
         memory_bytes: 0,
         ..AMPLE
     };
-    let mut store = open(folder.path(), limits, 0);
+    let mut store = open(dir.path(), limits, 0);
     let numbers: Vec<usize> = (0..TURNS).collect();
-    for batch in numbers.chunks(TURNS_OF_A_BATCH) {
+    for batch in numbers.chunks(TURNS_PER_BATCH) {
         let records: Vec<_> = batch.iter().map(|number| turn(*number)).collect();
         store.write(0, records).expect("written");
     }
     drop(store);
     let before = peak_memory();
-    let store = open(folder.path(), limits, 0);
+    let store = open(dir.path(), limits, 0);
     let taken = peak_memory() - before;
     assert_eq!(store.tables().len(), TURNS);
     assert!(
-        taken <= MOST_OF_A_START,
-        "the start took {} KiB for {} KiB of turns",
+        taken <= MAX_OPEN_BYTES,
+        "opening took {} KiB for {} KiB of turns",
         taken / KIB,
         (TURNS * TURN_BYTES) as u64 / KIB
     );
--- a/crates/courseshed-records/tests/store.rs
+++ b/crates/courseshed-records/tests/store.rs
@@ -1,4 +1,4 @@
-//! What a store has after a restart, a torn write and the emptying of segments.
+//! Durability of a store across restarts, torn writes and compaction.
 
 mod support;
 
@@ -13,15 +13,15 @@
 };
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 use serde::Serialize;
-use support::{AMPLE, MIB, clean_all, file_bytes, open, segment_files, turn_of_size};
+use support::{AMPLE, MIB, compact_all, file_bytes, open, segment_files, turn_of_size};
 use tempfile::TempDir;
 use yare::parameterized;
 
 const LONG_MS: u64 = 1 << 40;
 const PARTITION: PartitionId = PartitionId(3);
 
-/// Records of one partition.
-fn here(records: impl IntoIterator<Item = Record>) -> Vec<PartitionRecord> {
+/// Wraps records for the partition under test.
+fn in_partition(records: impl IntoIterator<Item = Record>) -> Vec<PartitionRecord> {
     let partition = PARTITION;
     let entries = records.into_iter();
     entries
@@ -57,9 +57,9 @@
 }
 
 #[test]
-fn what_was_written_is_there_again_and_the_incarnation_stays() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
+fn records_and_incarnation_survive_restart() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
     let incarnation = store.incarnation();
     let records = [
         reserve(1, 30),
@@ -67,52 +67,54 @@
         turn("b", Some("a")),
         Record::Epoch(3),
     ];
-    store.write(0, here(records)).expect("written");
+    store.write(0, in_partition(records)).expect("written");
     drop(store);
-    let mut store = RecordStore::open(folder.path(), incarnation + 1, AMPLE, 0).expect("opens");
+    let mut store = RecordStore::open(dir.path(), incarnation + 1, AMPLE, 0).expect("opens");
     assert_eq!(store.incarnation(), incarnation);
     assert_eq!(store.epoch(PARTITION), 3);
     assert_eq!(store.reserved(PARTITION, "p")[0].tokens, 30);
-    let chain = store.chain(PARTITION, "b").expect("a chain");
+    let chain = store.chain(PARTITION, "b").expect("stored chain");
     assert_eq!(chain.len(), 2);
-    let wanted = [turn("a", None), turn("b", Some("a"))];
-    for (kept, wanted) in chain.into_iter().zip(wanted) {
+    let expected = [turn("a", None), turn("b", Some("a"))];
+    for (actual, expected) in chain.into_iter().zip(expected) {
         let keep_ms = LONG_MS;
         assert_eq!(
             Record::Keep {
-                turn: kept,
+                turn: actual,
                 keep_ms
             },
-            wanted
+            expected
         );
     }
 }
 
 #[test]
-fn a_torn_end_loses_nothing_before_it_and_nothing_after_a_restart() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
-    store.write(0, here([turn("a", None)])).expect("written");
+fn torn_frame_loses_no_other_records() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
+    store
+        .write(0, in_partition([turn("a", None)]))
+        .expect("written");
     drop(store);
-    let segments = segment_files(folder.path());
+    let segments = segment_files(dir.path());
     let mut file = OpenOptions::new()
         .append(true)
         .open(&segments[0])
         .expect("opens");
     file.write_all(b"CsFr\x10\0\0\0torn").expect("written");
-    let mut store = open(folder.path(), AMPLE, 0);
+    let mut store = open(dir.path(), AMPLE, 0);
     assert!(store.chain(PARTITION, "a").is_ok());
     store
-        .write(0, here([turn("b", Some("a"))]))
+        .write(0, in_partition([turn("b", Some("a"))]))
         .expect("written");
     drop(store);
-    let mut store = open(folder.path(), AMPLE, 0);
-    assert_eq!(store.chain(PARTITION, "b").expect("a chain").len(), 2);
+    let mut store = open(dir.path(), AMPLE, 0);
+    assert_eq!(store.chain(PARTITION, "b").expect("stored chain").len(), 2);
 }
 
-/// A store with one segment of which only turn "long", reservation 1 and epoch 4 are needed.
-fn store_with_expired_turns(folder: &TempDir) -> RecordStore {
-    let mut store = open(folder.path(), AMPLE, 0);
+/// A store with one segment whose only live records are turn "long", reservation 1 and epoch 4.
+fn store_with_expired_turns(dir: &TempDir) -> RecordStore {
+    let mut store = open(dir.path(), AMPLE, 0);
     let records = [
         reserve(1, 30),
         turn("long", None),
@@ -125,66 +127,66 @@
         Record::Epoch(4),
     ];
     for record in records {
-        store.write(0, here([record])).expect("written");
+        store.write(0, in_partition([record])).expect("written");
     }
     for number in 0..80 {
         let short = turn_of_size(&format!("short-{number}"), None, 64 * 1024, 100);
-        store.write(0, here([short])).expect("written");
+        store.write(0, in_partition([short])).expect("written");
     }
     store.expire(200);
     store
 }
 
 #[test]
-fn emptied_segments_give_their_space_back_and_lose_nothing() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = store_with_expired_turns(&folder);
-    let before = file_bytes(folder.path());
+fn compaction_frees_space_without_losing_records() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = store_with_expired_turns(&dir);
+    let before = file_bytes(dir.path());
     assert!(before > 4 * MIB, "{before}");
-    clean_all(&mut store, 200);
+    compact_all(&mut store, 200);
     drop(store);
-    let after = file_bytes(folder.path());
+    let after = file_bytes(dir.path());
     assert!(after < 2 * MIB, "{after} of {before} bytes are left");
-    let mut store = open(folder.path(), AMPLE, 200);
+    let mut store = open(dir.path(), AMPLE, 200);
     assert_eq!(store.epoch(PARTITION), 4);
     assert_eq!(store.reserved(PARTITION, "p").len(), 1);
     assert_eq!(store.reserved(PARTITION, "p")[0].tokens, 4);
-    assert_eq!(store.chain(PARTITION, "long").expect("kept").len(), 1);
+    assert_eq!(store.chain(PARTITION, "long").expect("stored").len(), 1);
     assert!(store.chain(PARTITION, "short-0").is_err());
 }
 
-/// A disk that refuses writes for a while must not keep segments from being emptied later.
+/// Write errors during compaction must not exclude segments from later compaction.
 #[test]
-fn segments_are_emptied_once_the_disk_takes_writes_again() {
-    let parent = TempDir::new().expect("a folder");
-    let folder = TempDir::new_in(parent.path()).expect("a folder");
-    drop(store_with_expired_turns(&folder));
-    let mut store = open(folder.path(), AMPLE, 200);
-    let away = parent.path().join("away");
-    fs::rename(folder.path(), &away).expect("moved");
+fn compaction_resumes_after_write_errors() {
+    let parent_dir = TempDir::new().expect("temp dir");
+    let dir = TempDir::new_in(parent_dir.path()).expect("temp dir");
+    drop(store_with_expired_turns(&dir));
+    let mut store = open(dir.path(), AMPLE, 200);
+    let moved_dir = parent_dir.path().join("away");
+    fs::rename(dir.path(), &moved_dir).expect("moved");
     for _ in 0..3 {
         assert!(store.clean(200).is_err());
     }
-    fs::rename(&away, folder.path()).expect("moved back");
-    clean_all(&mut store, 200);
-    let after = file_bytes(folder.path());
+    fs::rename(&moved_dir, dir.path()).expect("moved back");
+    compact_all(&mut store, 200);
+    let after = file_bytes(dir.path());
     assert!(after < 2 * MIB, "{after} bytes are left");
     assert!(store.chain(PARTITION, "long").is_ok());
 }
 
 #[test]
-fn a_store_that_ends_while_a_segment_is_emptied_loses_nothing() {
+fn restart_during_compaction_loses_nothing() {
     for steps in 0..6 {
-        let folder = TempDir::new().expect("a folder");
-        let mut store = store_with_expired_turns(&folder);
+        let dir = TempDir::new().expect("temp dir");
+        let mut store = store_with_expired_turns(&dir);
         for _ in 0..steps {
-            store.clean(200).expect("cleans");
+            store.clean(200).expect("compacted");
         }
         drop(store);
-        let mut store = open(folder.path(), AMPLE, 200);
-        clean_all(&mut store, 200);
+        let mut store = open(dir.path(), AMPLE, 200);
+        compact_all(&mut store, 200);
         drop(store);
-        let mut store = open(folder.path(), AMPLE, 200);
+        let mut store = open(dir.path(), AMPLE, 200);
         assert_eq!(store.epoch(PARTITION), 4, "after {steps} steps");
         assert_eq!(store.reserved(PARTITION, "p")[0].tokens, 4);
         assert!(
@@ -194,15 +196,15 @@
     }
 }
 
-/// The settlement stands in a file that is emptied before that of its reservation.
+/// The settlement is in a segment that is compacted before that of its reservation.
 #[test]
-fn a_settlement_that_says_no_retention_is_carried_on() {
-    let folder = TempDir::new().expect("a folder");
+fn settlement_without_retention_survives_compaction() {
+    let dir = TempDir::new().expect("temp dir");
     let limits = StoreLimits {
         segment_bytes: 1,
         ..AMPLE
     };
-    let mut store = open(folder.path(), limits, 0);
+    let mut store = open(dir.path(), limits, 0);
     let settle = Record::Settle {
         program: "p".to_owned(),
         reservation: 1,
@@ -211,37 +213,39 @@
     };
     let first = [reserve(1, 30), turn("long", None)];
     let second = [settle, turn_of_size("short", None, 9_000, 100)];
-    store.write(0, here(first)).expect("written");
-    store.write(0, here(second)).expect("written");
-    store.write(0, here([reserve(2, 7)])).expect("written");
+    store.write(0, in_partition(first)).expect("written");
+    store.write(0, in_partition(second)).expect("written");
+    store
+        .write(0, in_partition([reserve(2, 7)]))
+        .expect("written");
     store.expire(200);
-    clean_all(&mut store, 200);
-    assert_eq!(segment_files(folder.path()).len(), 3, "the second is gone");
+    compact_all(&mut store, 200);
+    assert_eq!(segment_files(dir.path()).len(), 3, "the second is deleted");
     drop(store);
-    let store = open(folder.path(), AMPLE, 200);
+    let store = open(dir.path(), AMPLE, 200);
     assert_eq!(store.reserved(PARTITION, "p")[0].tokens, 4);
 }
 
 #[test]
-fn what_is_known_is_not_written_again() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
-    let records = || here([reserve(1, 30), turn("a", None), Record::Epoch(2)]);
+fn redundant_records_are_not_written() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
+    let records = || in_partition([reserve(1, 30), turn("a", None), Record::Epoch(2)]);
     store.write(0, records()).expect("written");
-    let before = file_bytes(folder.path());
+    let before = file_bytes(dir.path());
     store.write(1, records()).expect("known");
-    assert_eq!(file_bytes(folder.path()), before);
+    assert_eq!(file_bytes(dir.path()), before);
 }
 
 #[test]
-fn a_turn_that_is_repeated_to_be_kept_longer_is_kept_longer_after_a_restart() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
-    let keep = |keep_ms| here([turn_of_size("a", None, 10, keep_ms)]);
+fn extended_retention_of_a_turn_survives_restart() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
+    let keep = |keep_ms| in_partition([turn_of_size("a", None, 10, keep_ms)]);
     store.write(0, keep(5_000)).expect("written");
     store.write(0, keep(50_000)).expect("written");
     drop(store);
-    let mut store = open(folder.path(), AMPLE, 20_000);
+    let mut store = open(dir.path(), AMPLE, 20_000);
     assert!(store.chain(PARTITION, "a").is_ok());
 }
 
@@ -249,44 +253,46 @@
     disk = { 200 * MIB, 8 * MIB },
     memory = { 100 * 1024, 1024 * MIB },
 )]
-fn a_store_without_room_says_so_before_it_fails(memory_bytes: u64, disk_bytes: u64) {
-    let folder = TempDir::new().expect("a folder");
+fn store_reports_full_before_writes_fail(memory_bytes: u64, disk_bytes: u64) {
+    let dir = TempDir::new().expect("temp dir");
     let limits = StoreLimits {
         memory_bytes,
         disk_bytes: Some(disk_bytes),
         ..AMPLE
     };
-    let mut store = open(folder.path(), limits, 0);
+    let mut store = open(dir.path(), limits, 0);
     assert!(!store.is_full());
     for number in 0..128 {
         let turn = turn_of_size(&format!("t{number}"), None, 60 * 1024, LONG_MS);
-        store.write(0, here([turn])).expect("written");
+        store.write(0, in_partition([turn])).expect("written");
         store.expire(0);
     }
     assert!(store.is_full());
-    assert!(file_bytes(folder.path()) < disk_bytes);
+    assert!(file_bytes(dir.path()) < disk_bytes);
     assert!(store.chain(PARTITION, "t0").is_ok());
 }
 
 #[test]
-fn a_damaged_turn_is_an_error_and_not_a_missing_one() {
-    let folder = TempDir::new().expect("a folder");
+fn corrupt_turn_is_an_error_and_not_missing() {
+    let dir = TempDir::new().expect("temp dir");
     let no_cache = StoreLimits {
         memory_bytes: 0,
         ..AMPLE
     };
-    let mut store = open(folder.path(), no_cache, 0);
-    store.write(0, here([turn("a", None)])).expect("written");
-    let segment = &segment_files(folder.path())[0];
+    let mut store = open(dir.path(), no_cache, 0);
+    store
+        .write(0, in_partition([turn("a", None)]))
+        .expect("written");
+    let segment = &segment_files(dir.path())[0];
     let bytes = fs::read(segment).expect("read").len();
     fs::write(segment, vec![7; bytes]).expect("damaged");
     let read = store.chain(PARTITION, "a");
     assert!(matches!(read, Err(ReadError::File { .. })), "{read:?}");
 }
 
-/// A record as earlier versions wrote it.
+/// Record format of earlier versions, without a retention period in settlements.
 #[derive(Serialize)]
-struct OldStamped {
+struct OldTimestampedRecord {
     at_ms: u64,
     entry: OldPartitionRecord,
 }
@@ -307,12 +313,14 @@
 }
 
 #[test]
-fn a_folder_of_an_earlier_version_is_read() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
-    store.write(0, here([reserve(1, 30)])).expect("written");
+fn earlier_record_format_is_readable() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
+    store
+        .write(0, in_partition([reserve(1, 30)]))
+        .expect("written");
     drop(store);
-    let old = OldStamped {
+    let old = OldTimestampedRecord {
         at_ms: 0,
         entry: OldPartitionRecord {
             partition: PARTITION,
@@ -323,14 +331,14 @@
             },
         },
     };
-    let path = folder.path().join("records-00000007");
+    let path = dir.path().join("records-00000007");
     fs::write(path, frame::encode(&old)).expect("written");
-    let store = open(folder.path(), AMPLE, 0);
+    let store = open(dir.path(), AMPLE, 0);
     assert_eq!(store.reserved(PARTITION, "p")[0].tokens, 4);
 }
 
 #[test]
-fn the_order_of_a_settlement_and_its_reservation_does_not_matter() {
+fn settlement_and_reservation_commute() {
     let settle = Record::Settle {
         program: "p".to_owned(),
         reservation: 1,
@@ -348,20 +356,20 @@
 }
 
 #[test]
-fn an_export_in_pieces_is_the_whole() {
-    let from_folder = TempDir::new().expect("a folder");
-    let to_folder = TempDir::new().expect("a folder");
-    let mut store = open(from_folder.path(), AMPLE, 0);
+fn paged_export_is_complete() {
+    let source_dir = TempDir::new().expect("temp dir");
+    let target_dir = TempDir::new().expect("temp dir");
+    let mut store = open(source_dir.path(), AMPLE, 0);
     for number in 0..20 {
         let records = [reserve(number, 1), turn(&format!("t{number:02}"), None)];
-        store.write(0, here(records)).expect("written");
+        store.write(0, in_partition(records)).expect("written");
     }
-    let mut copy = open(to_folder.path(), AMPLE, 0);
+    let mut copy = open(target_dir.path(), AMPLE, 0);
     let mut cursor = Some(ExportCursor::default());
     let mut pages = 0;
     while let Some(from) = cursor {
         let page = store.export(PARTITION, 0, &from, 12).expect("read");
-        copy.write(0, here(page.records)).expect("written");
+        copy.write(0, in_partition(page.records)).expect("written");
         cursor = page.next;
         pages += 1;
     }
@@ -373,13 +381,13 @@
     for number in 0..20 {
         let id = format!("t{number:02}");
         let copied = copy.chain(PARTITION, &id).expect("copied");
-        assert_eq!(copied, store.chain(PARTITION, &id).expect("kept"));
+        assert_eq!(copied, store.chain(PARTITION, &id).expect("stored"));
     }
     assert_eq!(copy.tables().len(), store.tables().len());
 }
 
 #[test]
-fn a_turn_is_kept_as_long_as_those_that_go_on_from_it() {
+fn turn_is_retained_as_long_as_its_descendants() {
     let mut replica = RecordReplica::default();
     let short = |id: &str, previous: Option<&str>, keep_ms| match turn(id, previous) {
         Record::Keep { turn, .. } => Record::Keep { turn, keep_ms },
--- a/crates/courseshed-records/tests/store_model.rs
+++ b/crates/courseshed-records/tests/store_model.rs
@@ -1,7 +1,7 @@
-//! A store against a plain model of what it was told, with ends at every step.
+//! Checks a store against a reference model, with restarts at random steps.
 //!
-//! One seed decides everything: what is written, how time passes, when the process ends, and what a
-//! loss of power leaves of the files (a torn end, a removal that didn't last).
+//! A run is determined by its seed: the writes, the passage of time, the restarts, and what a power
+//! loss leaves of the files (a torn frame, a deletion that was not persisted).
 
 mod support;
 
@@ -20,15 +20,15 @@
 
 const SEEDS: u64 = 40;
 const STEPS: usize = 250;
-/// Small files, so that a run begins and empties many.
+/// Small segments, so that a run creates and compacts many.
 const LIMITS: StoreLimits = StoreLimits {
     memory_bytes: MIB,
     disk_bytes: Some(64 * MIB),
     segment_bytes: 16 * 1024,
 };
-const MOST_TOKENS: u32 = 500;
-/// The store may keep something this little shorter than it was told last, in milliseconds.
-const GRAIN_MS: u64 = 2_000;
+const MAX_TOKENS: u32 = 500;
+/// Tolerance by which the store may expire a record early, in milliseconds.
+const EXPIRY_TOLERANCE_MS: u64 = 2_000;
 
 #[derive(Clone)]
 struct ModelTurn {
@@ -47,8 +47,8 @@
     turns: BTreeMap<(PartitionId, String), ModelTurn>,
     programs: BTreeMap<(PartitionId, String), ModelProgram>,
     epochs: BTreeMap<PartitionId, u64>,
-    /// The most tokens ever told of a reservation.
-    most_told: BTreeMap<(PartitionId, String, u64), u32>,
+    /// The largest number of tokens ever stated for a reservation.
+    max_tokens_stated: BTreeMap<(PartitionId, String, u64), u32>,
 }
 
 impl Model {
@@ -68,7 +68,7 @@
                 keep_ms,
             } => {
                 let key = (partition, program.clone(), *reservation);
-                let most = self.most_told.entry(key).or_default();
+                let most = self.max_tokens_stated.entry(key).or_default();
                 *most = (*most).max(*tokens);
                 let program = self.programs.entry((partition, program.clone()));
                 let program = program.or_default();
@@ -92,32 +92,32 @@
         });
         let mut next = Some(turn.id.clone());
         while let Some(id) = next {
-            let Some(kept) = self.turns.get_mut(&(partition, id)) else {
+            let Some(stored) = self.turns.get_mut(&(partition, id)) else {
                 return;
             };
-            kept.expires_ms = kept.expires_ms.max(expires_ms);
-            next = kept.turn.previous.clone();
+            stored.expires_ms = stored.expires_ms.max(expires_ms);
+            next = stored.turn.previous.clone();
         }
     }
 
-    /// Forgets what is over, as the store is told to at the same time.
+    /// Removes expired entries, in step with the store.
     fn expire(&mut self, now_ms: u64) {
-        self.turns.retain(|_, kept| kept.expires_ms > now_ms);
-        self.programs.retain(|_, kept| kept.expires_ms > now_ms);
+        self.turns.retain(|_, stored| stored.expires_ms > now_ms);
+        self.programs.retain(|_, stored| stored.expires_ms > now_ms);
     }
 
-    /// Checks that a store has all that must still be kept, and no token too few.
+    /// Checks that the store has all unexpired records and does not undercount tokens.
     fn check(&self, store: &mut RecordStore, now_ms: u64, seed: u64) {
-        for ((partition, id), kept) in &self.turns {
-            if kept.expires_ms <= now_ms + GRAIN_MS {
+        for ((partition, id), stored) in &self.turns {
+            if stored.expires_ms <= now_ms + EXPIRY_TOLERANCE_MS {
                 continue;
             }
             let chain = store.chain(*partition, id);
             let chain = chain.unwrap_or_else(|error| panic!("seed {seed}: {id}: {error}"));
-            assert_eq!(chain.last(), Some(&kept.turn), "seed {seed}");
+            assert_eq!(chain.last(), Some(&stored.turn), "seed {seed}");
         }
         for ((partition, id), program) in &self.programs {
-            if program.expires_ms <= now_ms + GRAIN_MS {
+            if program.expires_ms <= now_ms + EXPIRY_TOLERANCE_MS {
                 continue;
             }
             let reserved = store.reserved(*partition, id);
@@ -125,15 +125,16 @@
                 .iter()
                 .map(|reserved| (reserved.reservation, reserved.tokens))
                 .collect();
-            // Never too few tokens. What was told earlier and need not be kept may still count: from
-            // before the program was forgotten once, or in place of a settlement that kept it shorter.
+            // Undercounting is never allowed. A larger value from an earlier record may reappear:
+            // from before the program expired, or in place of a settlement with a shorter
+            // retention.
             for (reservation, tokens) in &program.reservations {
                 let counted = known.get(reservation).copied().unwrap_or(0);
                 assert!(counted >= *tokens, "seed {seed}: program {id}: {known:?}");
             }
             for (reservation, tokens) in known {
                 let key = (*partition, id.clone(), reservation);
-                let most = self.most_told.get(&key).copied().unwrap_or(0);
+                let most = self.max_tokens_stated.get(&key).copied().unwrap_or(0);
                 assert!(tokens <= most, "seed {seed}: program {id}: {reservation}");
             }
         }
@@ -143,24 +144,24 @@
     }
 }
 
-struct World {
+struct Harness {
     seed: u64,
-    random: ChaCha8Rng,
-    folder: TempDir,
+    rng: ChaCha8Rng,
+    dir: TempDir,
     now_ms: u64,
     next_id: u64,
     model: Model,
     store: Option<RecordStore>,
 }
 
-impl World {
+impl Harness {
     fn new(seed: u64) -> Self {
-        let folder = TempDir::new().expect("a folder");
-        let store = open(folder.path(), LIMITS, 0);
+        let dir = TempDir::new().expect("temp dir");
+        let store = open(dir.path(), LIMITS, 0);
         Self {
             seed,
-            random: ChaCha8Rng::seed_from_u64(seed),
-            folder,
+            rng: ChaCha8Rng::seed_from_u64(seed),
+            dir,
             now_ms: 0,
             next_id: 0,
             model: Model::default(),
@@ -169,22 +170,22 @@
     }
 
     fn store(&mut self) -> &mut RecordStore {
-        self.store.as_mut().expect("it is open")
+        self.store.as_mut().expect("the store is open")
     }
 
     fn step(&mut self) {
-        match self.random.random_range(0..100) {
+        match self.rng.random_range(0..100) {
             0..55 => self.write(),
-            55..70 => self.now_ms += self.random.random_range(0..4_000),
+            55..70 => self.now_ms += self.rng.random_range(0..4_000),
             70..80 => self.expire(),
-            80..92 => self.clean(),
-            92..96 => self.end(),
+            80..92 => self.compact(),
+            92..96 => self.restart(),
             _ => self.lose_power(),
         }
     }
 
     fn write(&mut self) {
-        let count = self.random.random_range(1..6);
+        let count = self.rng.random_range(1..6);
         let records: Vec<PartitionRecord> = (0..count).map(|_| self.record()).collect();
         let now_ms = self.now_ms;
         for entry in &records {
@@ -194,12 +195,12 @@
     }
 
     fn record(&mut self) -> PartitionRecord {
-        let partition = PartitionId(self.random.random_range(0..3));
-        let keep_ms = self.random.random_range(3_000..40_000);
-        let record = match self.random.random_range(0..10) {
+        let partition = PartitionId(self.rng.random_range(0..3));
+        let keep_ms = self.rng.random_range(3_000..40_000);
+        let record = match self.rng.random_range(0..10) {
             0..3 => self.reserve(keep_ms),
             3..5 => self.settle_or_repeat(partition, keep_ms),
-            5 => Record::Epoch(self.random.random_range(0..50)),
+            5 => Record::Epoch(self.rng.random_range(0..50)),
             _ => Record::Keep {
                 turn: self.turn(partition),
                 keep_ms,
@@ -208,18 +209,18 @@
         PartitionRecord { partition, record }
     }
 
-    /// A new reservation. Its name is that of a request, so no other one has it.
+    /// A new reservation with an unused id.
     fn reserve(&mut self, keep_ms: u64) -> Record {
         self.next_id += 1;
         Record::Reserve {
-            program: format!("program-{}", self.random.random_range(0..12)),
+            program: format!("program-{}", self.rng.random_range(0..12)),
             reservation: self.next_id,
-            most: MOST_TOKENS,
+            most: MAX_TOKENS,
             keep_ms,
         }
     }
 
-    /// What was given of a reservation that is known, or the reservation once more.
+    /// Settles or repeats an existing reservation.
     fn settle_or_repeat(&mut self, partition: PartitionId, keep_ms: u64) -> Record {
         let programs = self.model.programs.iter();
         let known: Vec<(String, u64)> = programs
@@ -229,37 +230,39 @@
                 reservations.map(|reservation| (id.clone(), *reservation))
             })
             .collect();
-        let chosen = self.random.random_range(0..known.len().max(1));
+        let chosen = self.rng.random_range(0..known.len().max(1));
         let Some((program, reservation)) = known.get(chosen).cloned() else {
             return self.reserve(keep_ms);
         };
-        if self.random.random_range(0..4) == 0 {
+        if self.rng.random_range(0..4) == 0 {
             return Record::Reserve {
                 program,
                 reservation,
-                most: MOST_TOKENS,
+                most: MAX_TOKENS,
                 keep_ms,
             };
         }
         Record::Settle {
             program,
             reservation,
-            given: self.random.random_range(0..MOST_TOKENS),
+            given: self.rng.random_range(0..MAX_TOKENS),
             keep_ms,
         }
     }
 
-    /// A new turn, which may go on from one that is kept, or the same once more.
+    /// A new turn, which may continue a stored one, or a repeated turn.
     fn turn(&mut self, partition: PartitionId) -> Turn {
         let now_ms = self.now_ms;
-        let kept = self.model.turns.iter();
-        let kept: Vec<&ModelTurn> = kept
-            .filter(|((of, _), kept)| *of == partition && kept.expires_ms > now_ms + GRAIN_MS)
-            .map(|(_, kept)| kept)
+        let stored = self.model.turns.iter();
+        let stored: Vec<&ModelTurn> = stored
+            .filter(|((of, _), stored)| {
+                *of == partition && stored.expires_ms > now_ms + EXPIRY_TOLERANCE_MS
+            })
+            .map(|(_, stored)| stored)
             .collect();
-        let chosen = self.random.random_range(0..kept.len().max(1));
-        let chosen = kept.get(chosen).map(|kept| kept.turn.clone());
-        match (self.random.random_range(0..10), chosen) {
+        let chosen = self.rng.random_range(0..stored.len().max(1));
+        let chosen = stored.get(chosen).map(|stored| stored.turn.clone());
+        match (self.rng.random_range(0..10), chosen) {
             (0, Some(again)) => again,
             (1..6, Some(previous)) => self.new_turn(Some(previous.id)),
             _ => self.new_turn(None),
@@ -268,7 +271,7 @@
 
     fn new_turn(&mut self, previous: Option<String>) -> Turn {
         self.next_id += 1;
-        let size = self.random.random_range(0..3_000);
+        let size = self.rng.random_range(0..3_000);
         Turn {
             id: format!("turn-{}", self.next_id),
             previous,
@@ -285,44 +288,44 @@
         self.store().expire(now_ms);
     }
 
-    fn clean(&mut self) {
+    fn compact(&mut self) {
         let now_ms = self.now_ms;
-        self.store().clean(now_ms).expect("cleans");
+        self.store().clean(now_ms).expect("compacted");
     }
 
-    /// The process ends and starts again on the same files.
-    fn end(&mut self) {
+    /// Restarts the store on the same files.
+    fn restart(&mut self) {
         self.store = None;
         let now_ms = self.now_ms;
         self.model.expire(now_ms);
-        let mut store = open(self.folder.path(), LIMITS, now_ms);
+        let mut store = open(self.dir.path(), LIMITS, now_ms);
         self.model.check(&mut store, now_ms, self.seed);
         self.store = Some(store);
     }
 
-    /// Power is lost in a step that gives space back: removals may not last, and an end is torn.
+    /// Loses power during a compaction step: deletions may be undone and the last frame is torn.
     fn lose_power(&mut self) {
-        let before = contents(self.folder.path());
-        self.clean();
+        let before = contents(self.dir.path());
+        self.compact();
         self.store = None;
         for (path, content) in before {
-            if !path.exists() && self.random.random_range(0..2) == 0 {
+            if !path.exists() && self.rng.random_range(0..2) == 0 {
                 fs::write(path, content).expect("written");
             }
         }
-        if let Some(last) = segment_files(self.folder.path()).last() {
+        if let Some(last) = segment_files(self.dir.path()).last() {
             let mut file = fs::OpenOptions::new()
                 .append(true)
                 .open(last)
                 .expect("opens");
             file.write_all(b"CsFr\x40\0\0\0torn").expect("written");
         }
-        self.end();
+        self.restart();
     }
 }
 
-fn contents(folder: &Path) -> Vec<(PathBuf, Vec<u8>)> {
-    let files = segment_files(folder).into_iter();
+fn contents(dir: &Path) -> Vec<(PathBuf, Vec<u8>)> {
+    let files = segment_files(dir).into_iter();
     files
         .map(|path| {
             let content = fs::read(&path).expect("read");
@@ -337,18 +340,18 @@
     third = { 2 },
     fourth = { 3 },
 )]
-fn a_store_keeps_what_it_was_told_whenever_it_ends(quarter: u64) {
+fn store_matches_model_across_restarts(quarter: u64) {
     for seed in (quarter * SEEDS / 4)..((quarter + 1) * SEEDS / 4) {
-        let mut world = World::new(seed);
+        let mut harness = Harness::new(seed);
         for _ in 0..STEPS {
-            world.step();
+            harness.step();
         }
-        world.end();
-        // In the end nothing is left of it but the epochs.
-        world.now_ms += 60_000;
-        world.expire();
-        while world.store().clean(60_000_000).expect("cleans") {}
-        let left = file_bytes(world.folder.path());
+        harness.restart();
+        // After all retention periods only the epochs are left.
+        harness.now_ms += 60_000;
+        harness.expire();
+        while harness.store().clean(60_000_000).expect("compacted") {}
+        let left = file_bytes(harness.dir.path());
         assert!(
             left <= 2 * LIMITS.segment_bytes,
             "seed {seed}: {left} bytes"
--- a/crates/courseshed-records/tests/support/mod.rs
+++ b/crates/courseshed-records/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! What the tests of stores share.
+//! Helpers shared by the store tests.
 
-#![allow(dead_code, reason = "each test file uses a part of it")]
+#![allow(dead_code, reason = "each test binary uses a subset")]
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -8,26 +8,26 @@
 use bytes::Bytes;
 use courseshed_records::{Record, RecordStore, StoreLimits, Turn};
 
-/// Bytes of a mebibyte.
+/// Bytes per mebibyte.
 pub const MIB: u64 = 1024 * 1024;
-/// More than any of the tests needs.
+/// Limits that no test reaches.
 pub const AMPLE: StoreLimits = StoreLimits {
     memory_bytes: 256 * MIB,
     disk_bytes: Some(1024 * MIB),
     segment_bytes: 4 * MIB,
 };
 
-/// Opens a folder.
-pub fn open(folder: &Path, limits: StoreLimits, now_ms: u64) -> RecordStore {
-    RecordStore::open(folder, 5, limits, now_ms).expect("opens")
+/// Opens a store.
+pub fn open(dir: &Path, limits: StoreLimits, now_ms: u64) -> RecordStore {
+    RecordStore::open(dir, 5, limits, now_ms).expect("opens")
 }
 
-/// Cleans until nothing is left to clean.
-pub fn clean_all(store: &mut RecordStore, now_ms: u64) {
-    while store.clean(now_ms).expect("cleans") {}
+/// Compacts until there is nothing left to compact.
+pub fn compact_all(store: &mut RecordStore, now_ms: u64) {
+    while store.clean(now_ms).expect("compacted") {}
 }
 
-/// A turn with an input of some size.
+/// A turn with an input of the given size.
 pub fn turn_of_size(id: &str, previous: Option<&str>, size: usize, keep_ms: u64) -> Record {
     let turn = Turn {
         id: id.to_owned(),
@@ -40,9 +40,9 @@
     Record::Keep { turn, keep_ms }
 }
 
-/// The segments of a folder, the oldest first.
-pub fn segment_files(folder: &Path) -> Vec<PathBuf> {
-    let entries = fs::read_dir(folder).expect("listed");
+/// The segment files of a directory, the oldest first.
+pub fn segment_files(dir: &Path) -> Vec<PathBuf> {
+    let entries = fs::read_dir(dir).expect("listed");
     let mut paths: Vec<PathBuf> = entries
         .map(|entry| entry.expect("listed").path())
         .filter(|path| path.to_string_lossy().contains("records-"))
@@ -51,9 +51,9 @@
     paths
 }
 
-/// Size of all segments of a folder, in bytes.
-pub fn file_bytes(folder: &Path) -> u64 {
-    let files = segment_files(folder).into_iter();
+/// Total size of the segment files of a directory in bytes.
+pub fn file_bytes(dir: &Path) -> u64 {
+    let files = segment_files(dir).into_iter();
     files
         .map(|path| fs::metadata(path).expect("measured").len())
         .sum()
