--- a/crates/courseshed-records/src/partition.rs
+++ b/crates/courseshed-records/src/partition.rs
@@ -1,8 +1,7 @@
-//! Programs are spread over partitions, each with replicas and a view of its own.
+//! Hash partitioning of programs. Each partition has its own replica set.
 //!
-//! A partition is a whole group by itself: what holds for one view and its epochs holds for each
-//! partition. So a store carries only the partitions that it is a replica of, and more stores share
-//! the work of more programs.
+//! Partitions are independent replication groups: views and epochs apply to one partition. A store
+//! hosts only the partitions it is a replica of, so capacity grows with the number of stores.
 
 use std::collections::BTreeMap;
 
@@ -12,31 +11,29 @@
 
 use crate::{Location, Record, RecordMember, RecordReplica, RecordView};
 
-/// How many partitions there are. Fixed, since a program must stay in its own. Five replicas each on
-/// 36 stores make three or four for a store, so that the busiest has 1.2 times the mean; a view
-/// takes some 300 bytes.
+/// Number of partitions. Must not change, since it determines the partition of a program.
 pub const PARTITION_COUNT: u8 = 24;
 
-/// A partition that nothing is known of has no replicas.
-static NO_VIEW: RecordView = RecordView {
+/// View of a partition that has no replicas yet.
+static EMPTY_VIEW: RecordView = RecordView {
     epoch: 0,
     members: Vec::new(),
     former: Vec::new(),
 };
 
-/// Names a partition.
+/// Id of a partition.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct PartitionId(pub u8);
 
 impl PartitionId {
-    /// All partitions.
+    /// All partition ids.
     pub fn all() -> impl Iterator<Item = Self> {
         (0..PARTITION_COUNT).map(Self)
     }
 
-    /// The partition of a program.
+    /// The partition that a program hashes to.
     #[must_use]
     pub fn of_program(program: &str) -> Self {
         let partition = xxh3_64(program.as_bytes()) % u64::from(PARTITION_COUNT);
@@ -44,23 +41,23 @@
     }
 }
 
-/// The next view of a partition.
+/// A new view of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewChange {
     /// The partition.
     pub partition: PartitionId,
-    /// Its view.
+    /// The new view.
     pub view: RecordView,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 struct VersionedView {
-    /// Revision of the map at which the view changed last.
+    /// Revision of the map at which the view last changed.
     revision: u64,
     view: RecordView,
 }
 
-/// The views of all partitions. Each change makes a higher revision.
+/// The views of all partitions. Each change increments the revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionMap {
     revision: u64,
@@ -68,39 +65,42 @@
 }
 
 impl PartitionMap {
-    /// Grows with each change of a view.
+    /// Incremented by each change of a view.
     #[must_use]
     pub fn revision(&self) -> u64 {
         self.revision
     }
 
-    /// The view of a partition; one without members before the first.
+    /// The view of a partition; one without members if none was set.
     #[must_use]
     pub fn view(&self, partition: PartitionId) -> &RecordView {
         let known = self.views.get(&partition);
-        known.map_or(&NO_VIEW, |known| &known.view)
+        known.map_or(&EMPTY_VIEW, |known| &known.view)
     }
 
-    /// The partition of a program, unless its replicas are far and those of another one are near: then the
-    /// near one that the program prefers. Few programs prefer another one when a view changes.
+    /// The partition of a program. If its default partition is not near, the preferred one of those
+    /// that are; the default one if none is. Rendezvous hashing limits how many programs move when
+    /// a view changes.
     #[must_use]
     pub fn home_of(&self, program: &str, is_near: impl Fn(&RecordView) -> bool) -> PartitionId {
-        let usual = PartitionId::of_program(program);
-        self.preferred(program, is_near).unwrap_or(usual)
+        let default_partition = PartitionId::of_program(program);
+        self.preferred(program, is_near)
+            .unwrap_or(default_partition)
     }
 
-    /// Of the partitions whose view will do, the program's own or the one that it prefers; none if none will.
+    /// The program's default partition if eligible, else the eligible one that it prefers by
+    /// rendezvous hashing.
     #[must_use]
     pub fn preferred(
         &self,
         program: &str,
-        will_do: impl Fn(&RecordView) -> bool,
+        is_eligible: impl Fn(&RecordView) -> bool,
     ) -> Option<PartitionId> {
-        let usual = PartitionId::of_program(program);
-        if will_do(self.view(usual)) {
-            return Some(usual);
+        let default_partition = PartitionId::of_program(program);
+        if is_eligible(self.view(default_partition)) {
+            return Some(default_partition);
         }
-        let others = self.views().filter(|(_, view)| will_do(view));
+        let others = self.views().filter(|(_, view)| is_eligible(view));
         let preference =
             |partition: &PartitionId| xxh3_64_with_seed(program.as_bytes(), u64::from(partition.0));
         others
@@ -113,29 +113,29 @@
         PartitionId::all().map(|partition| (partition, self.view(partition)))
     }
 
-    /// Whether every partition has replicas and all of them count.
+    /// Whether every partition has replicas and all of them are active.
     #[must_use]
     pub fn is_whole(&self) -> bool {
         self.views().all(|(_, view)| view.is_whole())
     }
 
-    /// Whether a machine is a replica of any partition.
+    /// Whether a node is a replica of any partition.
     #[must_use]
     pub fn has_member(&self, node: NodeId) -> bool {
         self.views().any(|(_, view)| view.member(node).is_some())
     }
 
-    /// Whether this very life of a machine's disk is a replica of any partition.
+    /// Whether this incarnation of a node's disk is a replica of any partition.
     #[must_use]
     pub fn has_disk(&self, node: NodeId, incarnation: u64) -> bool {
-        let is_it = |member: &RecordMember| member.incarnation == incarnation;
+        let is_same_disk = |member: &RecordMember| member.incarnation == incarnation;
         self.views()
-            .any(|(_, view)| view.member(node).is_some_and(is_it))
+            .any(|(_, view)| view.member(node).is_some_and(is_same_disk))
     }
 
-    /// How many partitions each machine is a replica of.
+    /// The number of partitions that each node is a replica of.
     #[must_use]
-    pub fn replicas_by_node(&self) -> BTreeMap<NodeId, usize> {
+    pub fn replica_counts_by_node(&self) -> BTreeMap<NodeId, usize> {
         let mut replicas = BTreeMap::new();
         for (_, view) in self.views() {
             for member in &view.members {
@@ -145,7 +145,7 @@
         replicas
     }
 
-    /// Puts a planned view in force, if it is the next one of its partition; false if it isn't.
+    /// Applies a planned view. Returns false if its epoch is not the next one of the partition.
     pub fn advance(&mut self, change: ViewChange) -> bool {
         if change.view.epoch != self.view(change.partition).epoch + 1 {
             return false;
@@ -170,7 +170,7 @@
             .collect()
     }
 
-    /// Takes in a view that another node tells of, unless a newer one is known; false if it is.
+    /// Merges a view received from another node. Returns false if it is not newer.
     pub fn learn(&mut self, change: ViewChange) -> bool {
         if change.view.epoch <= self.view(change.partition).epoch {
             return false;
@@ -188,7 +188,7 @@
     }
 }
 
-/// A record of a partition.
+/// A record with its partition.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartitionRecord {
     /// The partition.
@@ -197,56 +197,56 @@
     pub record: Record,
 }
 
-/// The tables of all partitions that a store has records of.
+/// In-memory indexes of all partitions that a store has records of.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct PartitionTables {
     replicas: BTreeMap<PartitionId, RecordReplica>,
 }
 
 impl PartitionTables {
-    /// The tables of a partition; none if nothing of it is here.
+    /// The index of a partition, if the store has records of it.
     #[must_use]
     pub fn replica(&self, partition: PartitionId) -> Option<&RecordReplica> {
         self.replicas.get(&partition)
     }
 
-    /// The tables of a partition, to be changed.
+    /// The index of a partition, created if missing.
     pub fn replica_mut(&mut self, partition: PartitionId) -> &mut RecordReplica {
         self.replicas.entry(partition).or_default()
     }
 
-    /// The newest epoch of a partition that this store has moved to.
+    /// The newest epoch that this store has adopted for a partition.
     #[must_use]
     pub fn epoch(&self, partition: PartitionId) -> u64 {
         self.replica(partition).map_or(0, RecordReplica::epoch)
     }
 
-    /// Programs and turns that are kept.
+    /// Number of programs and turns in all partitions.
     #[must_use]
     pub fn len(&self) -> usize {
         self.replicas.values().map(RecordReplica::len).sum()
     }
 
-    /// Whether nothing is kept.
+    /// Whether there are no programs and turns.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Takes a record in that stands at a place of the files, see [`RecordReplica::apply`].
+    /// Indexes a record stored at a location, see [`RecordReplica::apply`].
     pub fn apply(&mut self, at_ms: u64, entry: &PartitionRecord, location: Location) {
         let replica = self.replica_mut(entry.partition);
         replica.apply(at_ms, &entry.record, location);
     }
 
-    /// Drops what need not be kept at a time of day.
+    /// Removes expired programs and turns.
     pub fn expire(&mut self, now_ms: u64) {
         for replica in self.replicas.values_mut() {
             replica.expire(now_ms);
         }
     }
 
-    /// All tables with their partitions.
+    /// The indexes of all partitions.
     pub fn replicas(&self) -> impl Iterator<Item = (PartitionId, &RecordReplica)> {
         self.replicas
             .iter()
--- a/crates/courseshed-records/src/plan.rs
+++ b/crates/courseshed-records/src/plan.rs
@@ -1,4 +1,4 @@
-//! The next views, decided from what the leader of the controllers knows. Pure.
+//! Planning of view changes from the state known to the leading controller. Performs no I/O.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,68 +7,68 @@
 
 use crate::{PartitionId, PartitionMap, RecordMember, RecordView, ViewChange};
 
-/// A machine with a disk for records, as it announced itself.
+/// A node with a disk for records, as registered with the controllers.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoreMachine {
-    /// The operator's name for it.
+    /// Name of the machine.
     pub name: String,
-    /// Where it stands.
+    /// Zone of the machine.
     pub zone: String,
-    /// The life of its disk.
+    /// Incarnation of its disk.
     pub incarnation: u64,
 }
 
-/// What the plan is made from.
+/// Inputs for planning the next view of a partition.
 #[derive(Clone, Copy, Debug)]
 pub struct ViewPlan<'a> {
-    /// The view in force.
+    /// The current view.
     pub view: &'a RecordView,
-    /// All machines that announced themselves.
+    /// All registered stores.
     pub stores: &'a BTreeMap<NodeId, StoreMachine>,
-    /// Machines not heard for so long that another may take their place.
+    /// Nodes that have been unresponsive for long enough to be replaced.
     pub silent: &'a BTreeSet<NodeId>,
-    /// Machines that are to be emptied.
+    /// Nodes that are being decommissioned.
     pub retiring: &'a BTreeSet<NodeId>,
-    /// Replicas wanted: twice the lost disks to be borne, and one.
+    /// Target number of replicas: 2f + 1 to tolerate f lost disks.
     pub wanted: usize,
-    /// How many partitions each machine is a replica of, so that the least used one is taken.
+    /// Partitions hosted by each node, to prefer the least loaded one.
     pub replicas: &'a BTreeMap<NodeId, usize>,
-    /// The region that replicas are to be in as far as it has machines; none if any will do.
+    /// Region to place replicas in as far as it has stores; `None` for no preference.
     pub home: Option<HomeRegion<'a>>,
 }
 
-/// The region where a partition's replicas are.
+/// The region that a partition's replicas are placed in.
 #[derive(Clone, Copy, Debug)]
 pub struct HomeRegion<'a> {
-    /// Its name.
+    /// Name of the region.
     pub region: &'a str,
-    /// The regions of zones.
+    /// Map of zones to regions.
     pub zones: &'a ZoneMap,
-    /// Whether replicas must stay there.
-    pub is_binding: bool,
+    /// Whether replicas must not be placed outside of the region.
+    pub is_required: bool,
 }
 
-/// Which losses of whole places replicas must survive, and so how they are spread.
+/// Fault tolerance requirements that determine the placement of replicas.
 ///
-/// Replicas of a partition in two regions make every write cross the link between them, which all traffic
-/// shares: at 295 kept turns a second of 17 KB with half of five replicas across, 12 MB/s where a link has
-/// 7.5 MB/s each way. So each partition has a home region, and only what that lacks machines for is elsewhere.
+/// Replicas in two regions send every write over the link between them, whose capacity all traffic
+/// shares. Each partition therefore has a home region, and uses others only for replicas that the
+/// home region has no stores for.
 #[derive(Clone, Copy, Debug)]
 pub struct Spread<'a> {
-    /// The regions of zones.
+    /// Map of zones to regions.
     pub zones: &'a ZoneMap,
-    /// Zones that may be lost at once.
+    /// Number of simultaneous zone failures to tolerate.
     pub zones_borne: usize,
-    /// Regions that may be lost at once.
+    /// Number of simultaneous region failures to tolerate.
     pub regions_borne: usize,
-    /// Whether replicas must stay in the home region of their partition, since operators restrict what is kept to
-    /// regions. A partition then has fewer replicas rather than one elsewhere.
+    /// Whether replicas must not leave the home region of their partition, for data residency.
+    /// A partition then runs with fewer replicas if the region lacks stores.
     pub must_stay_home: bool,
 }
 
 impl<'a> Spread<'a> {
-    /// The home of a partition: regions take turns. None if replicas in one region would not survive what
-    /// must be borne, for which a majority of the replicas must be left.
+    /// The home region of a partition, assigned round-robin. `None` if replicas in a single region
+    /// could lose their majority to the failures that must be tolerated.
     #[must_use]
     pub fn home(&self, partition: PartitionId) -> Option<HomeRegion<'a>> {
         let regions: Vec<&str> = self.zones.regions().into_iter().collect();
@@ -81,36 +81,36 @@
         is_enough.then_some(HomeRegion {
             region,
             zones: self.zones,
-            is_binding: self.must_stay_home,
+            is_required: self.must_stay_home,
         })
     }
 }
 
-/// What the plan for all partitions is made from. The fields are those of [`ViewPlan`].
+/// Inputs for planning all partitions. See [`ViewPlan`] for the shared fields.
 #[derive(Clone, Copy, Debug)]
 pub struct MapPlan<'a> {
-    /// The views in force.
+    /// The current views.
     pub map: &'a PartitionMap,
-    /// All machines that announced themselves.
+    /// All registered stores.
     pub stores: &'a BTreeMap<NodeId, StoreMachine>,
-    /// Machines not heard for so long that another may take their place.
+    /// Nodes that have been unresponsive for long enough to be replaced.
     pub silent: &'a BTreeSet<NodeId>,
-    /// Machines that are to be emptied.
+    /// Nodes that are being decommissioned.
     pub retiring: &'a BTreeSet<NodeId>,
-    /// Replicas wanted of each partition.
+    /// Target number of replicas of each partition.
     pub wanted: usize,
-    /// Whether partitions without replicas may get their first ones: once the stores that start
-    /// together have announced themselves, so that all of them get their part.
+    /// Whether to place the first replicas of a partition. Enabled once the stores that start
+    /// together have registered, so that partitions are spread over all of them.
     pub may_found: bool,
-    /// How replicas are spread over places.
+    /// How replicas are placed across zones and regions.
     pub spread: Spread<'a>,
 }
 
-/// The changes that are due: at most one for a partition. `caught_up` names the lives of disks that
-/// have read enough of a partition to count.
+/// Plans at most one view change per partition. `caught_up` lists the joining replicas that are
+/// ready to become active.
 #[must_use]
 pub fn plan_map(plan: &MapPlan<'_>, caught_up: &[CaughtUp]) -> Vec<ViewChange> {
-    let mut replicas = plan.map.replicas_by_node();
+    let mut replicas = plan.map.replica_counts_by_node();
     let mut changes = Vec::new();
     for (partition, view) in plan.map.views() {
         if view.members.is_empty() && !plan.may_found {
@@ -145,83 +145,86 @@
     changes
 }
 
-/// A store has read enough of a partition to count.
+/// A joining replica has read from enough sources to become active.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CaughtUp {
     /// The partition.
     pub partition: PartitionId,
-    /// The machine.
+    /// The node.
     pub node: NodeId,
-    /// The life of its disk.
+    /// Incarnation of the node's disk.
     pub incarnation: u64,
 }
 
-/// The next view, if a change is due. One change at a time, so that quorums of consecutive views meet.
+/// The next view, if a change is due. Makes one change at a time so that the quorums of consecutive
+/// views intersect.
 #[must_use]
 pub fn plan_view(plan: &ViewPlan<'_>) -> Option<RecordView> {
-    plan.found()
-        .or_else(|| plan.emptied_disk())
-        .or_else(|| plan.substitute())
-        .or_else(|| plan.retire())
-        .or_else(|| plan.grow())
+    plan.initial_view()
+        .or_else(|| plan.rejoin_wiped_disk())
+        .or_else(|| plan.replace_silent_member())
+        .or_else(|| plan.decommission_member())
+        .or_else(|| plan.add_missing_member())
 }
 
 impl ViewPlan<'_> {
-    /// The first view: all that are wanted count at once, since nothing was ever recorded before.
-    fn found(&self) -> Option<RecordView> {
+    /// The first view. All members start active since no records exist yet.
+    fn initial_view(&self) -> Option<RecordView> {
         if !self.view.members.is_empty() {
             return None;
         }
         let mut next = self.view.next_epoch();
         while next.members.len() < self.wanted
-            && let Some(node) = self.spare(&next)
+            && let Some(node) = self.best_candidate(&next)
         {
-            let mut member = self.joining(node)?;
+            let mut member = self.joining_member(node)?;
             member.active = true;
             next.members.push(member);
         }
         (!next.members.is_empty()).then_some(next)
     }
 
-    /// A member came back with an empty disk: its new life joins in place of the old one.
-    fn emptied_disk(&self) -> Option<RecordView> {
+    /// Re-adds a member whose disk was wiped as a joining one.
+    fn rejoin_wiped_disk(&self) -> Option<RecordView> {
         let position = self.view.members.iter().position(|member| {
             let store = self.stores.get(&member.node);
             store.is_some_and(|store| store.incarnation != member.incarnation)
         })?;
         let mut next = self.view.next_epoch();
         let node = next.members[position].node;
-        next.members[position] = self.joining(node)?;
+        next.members[position] = self.joining_member(node)?;
         next.former.retain(|former| former.node != node);
         Some(next)
     }
 
-    /// A member is silent and another machine is there: it takes the place.
-    fn substitute(&self) -> Option<RecordView> {
+    /// Replaces an unresponsive member if another node is available.
+    fn replace_silent_member(&self) -> Option<RecordView> {
         let position = self
             .view
             .members
             .iter()
             .position(|member| self.silent.contains(&member.node))?;
-        let heard_active = self
+        let responsive_active = self
             .view
             .active()
             .filter(|member| !self.silent.contains(&member.node))
             .count();
-        if heard_active < self.view.sources_needed() {
+        if responsive_active < self.view.sources_needed() {
             return None;
         }
-        let spare = self.spare(self.view)?;
+        let candidate = self.best_candidate(self.view)?;
         let mut next = self.view.next_epoch();
-        let replaced = std::mem::replace(&mut next.members[position], self.joining(spare)?);
+        let replaced =
+            std::mem::replace(&mut next.members[position], self.joining_member(candidate)?);
         if replaced.active {
             next.former.push(replaced);
         }
         Some(next)
     }
 
-    /// A machine is to be emptied: first another joins, then it leaves.
-    fn retire(&self) -> Option<RecordView> {
+    /// Adds a replacement for a retiring member, or removes that member once its replacement is
+    /// active.
+    fn decommission_member(&self) -> Option<RecordView> {
         if !self.all_active() {
             return None;
         }
@@ -234,18 +237,20 @@
         if self.view.members.len() > self.wanted {
             next.members.remove(position);
         } else {
-            next.members.push(self.joining(self.spare(self.view)?)?);
+            next.members
+                .push(self.joining_member(self.best_candidate(self.view)?)?);
         }
         Some(next)
     }
 
-    /// Fewer replicas than wanted.
-    fn grow(&self) -> Option<RecordView> {
+    /// Adds a member if there are fewer than wanted.
+    fn add_missing_member(&self) -> Option<RecordView> {
         if self.view.members.len() >= self.wanted || !self.all_active() {
             return None;
         }
         let mut next = self.view.next_epoch();
-        next.members.push(self.joining(self.spare(self.view)?)?);
+        next.members
+            .push(self.joining_member(self.best_candidate(self.view)?)?);
         Some(next)
     }
 
@@ -253,7 +258,7 @@
         self.view.members.iter().all(|member| member.active)
     }
 
-    fn joining(&self, node: NodeId) -> Option<RecordMember> {
+    fn joining_member(&self, node: NodeId) -> Option<RecordMember> {
         let store = self.stores.get(&node)?;
         Some(RecordMember {
             node,
@@ -263,28 +268,32 @@
         })
     }
 
-    /// A machine that may join a view: in the home region, if there is one left; of the zone with the fewest
-    /// members, the one with the fewest replicas.
-    fn spare(&self, view: &RecordView) -> Option<NodeId> {
-        let in_zone = |zone: &str| {
+    /// The best node for a new member: in the home region if possible, then in the zone with the
+    /// fewest members, then with the fewest replicas.
+    fn best_candidate(&self, view: &RecordView) -> Option<NodeId> {
+        let members_in_zone = |zone: &str| {
             let members = view.members.iter();
             members
                 .filter(|member| member.zone == zone && !self.silent.contains(&member.node))
                 .count()
         };
         let replicas = |node: &NodeId| self.replicas.get(node).copied().unwrap_or(0);
-        let is_abroad = |zone: &str| {
+        let is_outside_home = |zone: &str| {
             self.home
                 .is_some_and(|home| home.zones.region_of(zone) != Some(home.region))
         };
-        let is_bound = self.home.is_some_and(|home| home.is_binding);
+        let is_home_required = self.home.is_some_and(|home| home.is_required);
         self.stores
             .iter()
             .filter(|(node, _)| !view.needs(**node))
             .filter(|(node, _)| !self.silent.contains(node) && !self.retiring.contains(node))
-            .filter(|(_, store)| !is_bound || !is_abroad(&store.zone))
+            .filter(|(_, store)| !is_home_required || !is_outside_home(&store.zone))
             .min_by_key(|(node, store)| {
-                (is_abroad(&store.zone), in_zone(&store.zone), replicas(node))
+                (
+                    is_outside_home(&store.zone),
+                    members_in_zone(&store.zone),
+                    replicas(node),
+                )
             })
             .map(|(node, _)| *node)
     }
--- a/crates/courseshed-records/tests/partitions.rs
+++ b/crates/courseshed-records/tests/partitions.rs
@@ -1,4 +1,4 @@
-//! Programs are spread over partitions, and partitions over stores.
+//! Placement of partitions on stores and mapping of programs to partitions.
 
 mod support;
 
@@ -77,7 +77,7 @@
         count
     }
 
-    /// What all joining stores would say once they have read enough.
+    /// Reports all joining replicas as caught up.
     fn all_caught_up(&self) -> Vec<CaughtUp> {
         let joining = self.map.views().flat_map(|(partition, view)| {
             let members = view.members.iter().filter(|member| !member.active);
@@ -90,7 +90,7 @@
         joining.collect()
     }
 
-    /// Plans and catches up until nothing more is due.
+    /// Plans changes and completes catch-ups until no change is due.
     fn settle(&mut self) {
         for _ in 0..20 {
             let caught_up = self.all_caught_up();
@@ -98,14 +98,17 @@
                 return;
             }
         }
-        panic!("the views never settle");
+        panic!("view changes do not converge");
     }
 }
 
 #[test]
-fn first_replicas_count_at_once_in_distinct_zones_and_evenly() {
+fn initial_replicas_are_active_balanced_and_in_distinct_zones() {
     let mut fleet = Fleet::new(36, 7);
-    assert!(fleet.plan(false, &[]).is_empty(), "others may still come");
+    assert!(
+        fleet.plan(false, &[]).is_empty(),
+        "more stores may register"
+    );
     assert_eq!(fleet.advance(&[]), usize::from(PARTITION_COUNT));
     assert!(fleet.map.is_whole());
     for (_, view) in fleet.map.views() {
@@ -116,14 +119,14 @@
             .collect();
         assert_eq!(zones.len(), WANTED);
     }
-    let replicas = fleet.map.replicas_by_node();
+    let replicas = fleet.map.replica_counts_by_node();
     let most = replicas.values().max().expect("replicas");
     assert_eq!(replicas.len(), 36);
     assert!(*most <= 5, "{replicas:?}");
 }
 
-/// Zones of stores by turns in two regions.
-fn two_regions(fleet: &mut Fleet) {
+/// Assigns the zones of the stores alternately to two regions.
+fn assign_two_regions(fleet: &mut Fleet) {
     let zones: BTreeSet<String> = fleet
         .stores
         .values()
@@ -142,8 +145,8 @@
         .collect();
 }
 
-/// The most replicas that a partition has in one region, for each partition.
-fn most_in_a_region(fleet: &Fleet) -> Vec<usize> {
+/// For each partition, the largest number of its replicas in one region.
+fn max_replicas_per_region(fleet: &Fleet) -> Vec<usize> {
     let views = fleet.map.views();
     let most = views.map(|(_, view)| {
         let mut by_region: BTreeMap<&str, usize> = BTreeMap::new();
@@ -156,15 +159,14 @@
     most.collect()
 }
 
-/// With four stores in each of two regions, writes of half of the partitions crossed the link between them
-/// two or three times each; now once at most, and a quorum is in one region.
+/// Guards against quorums that span regions, which make every write cross the link between them.
 #[test]
-fn all_replicas_that_fit_are_in_the_partitions_home_region() {
+fn replicas_fill_the_home_region_first() {
     let mut fleet = Fleet::new(8, 6);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.settle();
     assert_eq!(
-        most_in_a_region(&fleet),
+        max_replicas_per_region(&fleet),
         vec![4; usize::from(PARTITION_COUNT)]
     );
     let homes = fleet.map.views().filter(|(_, view)| {
@@ -178,47 +180,55 @@
 }
 
 #[test]
-fn a_lost_store_is_replaced_in_the_home_region_if_that_has_another() {
+fn lost_store_is_replaced_within_home_region() {
     let mut fleet = Fleet::new(12, 6);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.settle();
     assert_eq!(
-        most_in_a_region(&fleet),
+        max_replicas_per_region(&fleet),
         vec![WANTED; usize::from(PARTITION_COUNT)]
     );
     fleet.silent.insert(NodeId(3));
     fleet.settle();
     assert!(!fleet.map.has_member(NodeId(3)));
     assert_eq!(
-        most_in_a_region(&fleet),
+        max_replicas_per_region(&fleet),
         vec![WANTED; usize::from(PARTITION_COUNT)]
     );
 }
 
 #[test]
-fn replicas_are_spread_over_regions_where_one_may_be_lost() {
+fn replicas_are_spread_to_tolerate_region_failure() {
     let mut fleet = Fleet::new(12, 6);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.regions_borne = 1;
     fleet.settle();
-    assert!(most_in_a_region(&fleet).into_iter().all(|most| most <= 3));
+    assert!(
+        max_replicas_per_region(&fleet)
+            .into_iter()
+            .all(|most| most <= 3)
+    );
 }
 
-/// Of two zones of a region one holds three replicas of five, so that its loss would take the majority.
+/// With two zones in the region, one of them would host three of five replicas.
 #[test]
-fn a_region_is_no_home_where_a_zone_of_it_may_hold_a_majority() {
+fn region_is_not_home_if_one_of_its_zones_could_hold_a_majority() {
     let mut fleet = Fleet::new(16, 4);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.zones_borne = 1;
     fleet.settle();
-    assert!(most_in_a_region(&fleet).into_iter().all(|most| most <= 3));
+    assert!(
+        max_replicas_per_region(&fleet)
+            .into_iter()
+            .all(|most| most <= 3)
+    );
 }
 
-/// What may be kept in one region only stays there, whatever is lost: with fewer replicas, if need be.
+/// Data residency takes precedence over the target number of replicas.
 #[test]
-fn replicas_that_must_stay_home_never_leave_their_region() {
+fn pinned_replicas_never_leave_home_region() {
     let mut fleet = Fleet::new(8, 6);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.must_stay_home = true;
     fleet.settle();
     let check = |fleet: &Fleet, replicas: usize| {
@@ -243,11 +253,11 @@
     check(&fleet, WANTED);
 }
 
-/// A program keeps its partition where that is near, and else prefers one near partition steadily.
+/// A program uses its default partition if near, else a stable choice among the near ones.
 #[test]
-fn the_home_of_a_program_is_near_and_moves_for_few_when_a_view_changes() {
+fn home_partition_is_near_and_stable_across_view_changes() {
     let mut fleet = Fleet::new(8, 6);
-    two_regions(&mut fleet);
+    assign_two_regions(&mut fleet);
     fleet.settle();
     let is_east = |member: &courseshed_records::RecordMember| {
         fleet.zones.region_of(&member.zone) == Some("east")
@@ -267,8 +277,8 @@
             before.0.is_multiple_of(2),
             "east comes first in the order of regions"
         );
-        let usual = PartitionId::of_program(&format!("p{program}"));
-        assert!(usual.0 % 2 == 1 || before == usual);
+        let default_partition = PartitionId::of_program(&format!("p{program}"));
+        assert!(default_partition.0 % 2 == 1 || before == default_partition);
         let after = home(program, Some(lost));
         if after != before {
             assert_eq!(before, lost);
@@ -279,46 +289,50 @@
 }
 
 #[test]
-fn the_places_of_a_silent_store_are_spread_over_the_others() {
+fn replicas_of_silent_store_are_spread_over_other_stores() {
     let mut fleet = Fleet::new(36, 7);
     fleet.settle();
-    let before = fleet.map.replicas_by_node();
+    let before = fleet.map.replica_counts_by_node();
     let lost = NodeId(7);
     fleet.silent.insert(lost);
     assert_eq!(fleet.advance(&[]), before[&lost]);
     assert!(!fleet.map.has_member(lost));
     assert!(
         fleet.map.views().any(|(_, view)| view.needs(lost)),
-        "its records are still a source"
+        "it remains a catch-up source"
     );
-    let after = fleet.map.replicas_by_node();
+    let after = fleet.map.replica_counts_by_node();
     let grown = after.iter().filter(|(node, count)| **count > before[node]);
-    assert_eq!(grown.count(), before[&lost], "nobody takes two of them");
+    assert_eq!(
+        grown.count(),
+        before[&lost],
+        "no store takes over two of them"
+    );
     fleet.settle();
     assert!(fleet.map.is_whole());
     assert!(!fleet.map.views().any(|(_, view)| view.needs(lost)));
 }
 
 #[test]
-fn an_emptied_disk_joins_each_of_its_partitions_anew() {
+fn wiped_disk_rejoins_each_of_its_partitions() {
     let mut fleet = Fleet::new(7, 7);
     fleet.settle();
     let node = NodeId(2);
-    let places = fleet.map.replicas_by_node()[&node];
+    let replica_count = fleet.map.replica_counts_by_node()[&node];
     fleet.stores.get_mut(&node).expect("known").incarnation = 99;
     assert!(!fleet.map.has_disk(node, 99));
-    assert_eq!(fleet.advance(&[]), places);
+    assert_eq!(fleet.advance(&[]), replica_count);
     let joining = fleet.all_caught_up();
-    assert_eq!(joining.len(), places);
+    assert_eq!(joining.len(), replica_count);
     assert!(joining.iter().all(|joined| joined.incarnation == 99));
     let one = joining[0];
     fleet.advance(&[one]);
     assert!(fleet.map.view(one.partition).is_active(node, 99));
-    assert_eq!(fleet.all_caught_up().len(), places - 1);
+    assert_eq!(fleet.all_caught_up().len(), replica_count - 1);
 }
 
 #[test]
-fn a_store_is_emptied_of_all_its_partitions() {
+fn retiring_store_gives_up_all_replicas() {
     let mut fleet = Fleet::new(8, 4);
     fleet.settle();
     let node = NodeId(3);
@@ -334,7 +348,7 @@
 }
 
 #[test]
-fn followers_learn_only_the_partitions_that_changed_and_never_an_older_view() {
+fn followers_receive_changed_partitions_and_reject_older_views() {
     let mut fleet = Fleet::new(36, 7);
     fleet.settle();
     let mut follower = PartitionMap::default();
@@ -344,13 +358,13 @@
     let known = fleet.map.revision();
     fleet.silent.insert(NodeId(1));
     let changed = fleet.advance(&[]);
-    let news = fleet.map.changes_since(known);
-    assert_eq!(news.len(), changed);
+    let updates = fleet.map.changes_since(known);
+    assert_eq!(updates.len(), changed);
     let old = ViewChange {
-        partition: news[0].partition,
-        view: follower.view(news[0].partition).clone(),
+        partition: updates[0].partition,
+        view: follower.view(updates[0].partition).clone(),
     };
-    for change in news {
+    for change in updates {
         assert!(follower.learn(change));
     }
     assert!(!follower.learn(old));
@@ -360,7 +374,7 @@
 }
 
 #[test]
-fn a_change_that_is_not_the_next_one_is_passed_over() {
+fn view_change_with_wrong_epoch_is_rejected() {
     let mut fleet = Fleet::new(6, 3);
     fleet.settle();
     fleet.silent.insert(NodeId(1));
@@ -384,9 +398,9 @@
 }
 
 #[test]
-fn a_store_keeps_partitions_apart() {
-    let folder = TempDir::new().expect("a folder");
-    let mut store = open(folder.path(), AMPLE, 0);
+fn partitions_of_a_store_are_independent() {
+    let dir = TempDir::new().expect("temp dir");
+    let mut store = open(dir.path(), AMPLE, 0);
     let keep = |partition: u8, id: &str, keep_ms, size| PartitionRecord {
         partition: PartitionId(partition),
         record: turn_of_size(id, None, size, keep_ms),
@@ -409,10 +423,10 @@
     }
     store.expire(200);
     compact_all(&mut store, 200);
-    let segments = segment_files(folder.path()).len();
-    assert_eq!(segments, 1, "the first segment is gone");
+    let segments = segment_files(dir.path()).len();
+    assert_eq!(segments, 1, "the first segment is deleted");
     drop(store);
-    let mut restored = open(folder.path(), AMPLE, 200);
+    let mut restored = open(dir.path(), AMPLE, 200);
     assert_eq!(restored.tables().len(), 2);
     assert_eq!(restored.epoch(PartitionId(1)), 4);
     assert_eq!(restored.epoch(PartitionId(2)), 9);
--- a/crates/courseshed-registry/src/state.rs
+++ b/crates/courseshed-registry/src/state.rs
@@ -441,7 +441,7 @@
     /// A machine whose last place another took is forgotten until it announces itself again. A change
     /// that was planned before one of its machines was retired is passed over, and planned anew.
     fn change_views(&mut self, changes: Vec<ViewChange>) {
-        let before = self.records.replicas_by_node();
+        let before = self.records.replica_counts_by_node();
         for change in changes {
             let mut nodes = change.view.members.iter().map(|member| member.node);
             let is_retired = |node| self.retirements.get(&node) == Some(&Retirement::Completed);
