--- a/crates/courseshed-records/src/simulation.rs
+++ b/crates/courseshed-records/src/simulation.rs
@@ -1,8 +1,8 @@
-//! Simulation: stores, views and writers, with messages in any order and disks lost.
+//! Deterministic simulation of stores, views and writers with reordered messages and lost disks.
 //!
-//! One seed decides everything. No more disks are lost at once than the view bears; any machine may
-//! be out of reach at any time, views change while writes are under way, and writers use old views.
-//! An observer knows only what writers were told and checks the promises against that.
+//! A run is determined by its seed. The number of disks lost at a time stays within what the view
+//! tolerates. Any node may be unreachable at any time, views change during writes, and writers use
+//! outdated views. Invariants are checked against the results that writers observed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,56 +18,56 @@
 };
 
 const STEPS: usize = 400;
-/// Rounds in which everything must come back once all machines can be reached again.
-const SETTLING_STEPS: usize = 400;
+/// Steps with all nodes reachable, within which all replicas must become active.
+const RECOVERY_STEPS: usize = 400;
 const BUDGET: u64 = 100;
-const MOST: u32 = 30;
+const MAX_TOKENS: u32 = 30;
 const KEEP_MS: u64 = 1 << 40;
 const PROGRAM: &str = "p";
 
-/// What must hold.
+/// Invariants checked by the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum RecordPromise {
-    /// A turn that was kept is never said to be unknown.
-    KeptTurn,
-    /// What is granted to a program never exceeds its budget.
+    /// A stored turn is never reported as unknown.
+    DurableTurn,
+    /// The tokens granted to a program never exceed its budget.
     Budget,
-    /// Once all machines can be reached, all replicas count again.
-    ComesBack,
+    /// Once all nodes are reachable, all replicas become active again.
+    FullRecovery,
 }
 
 impl RecordPromise {
-    /// All promises.
-    pub const ALL: [Self; 3] = [Self::KeptTurn, Self::Budget, Self::ComesBack];
+    /// All invariants.
+    pub const ALL: [Self; 3] = [Self::DurableTurn, Self::Budget, Self::FullRecovery];
 
-    /// Its name.
+    /// Name of the invariant in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Self::KeptTurn => "a kept turn is never unknown",
+            Self::DurableTurn => "a kept turn is never unknown",
             Self::Budget => "no program is granted more than its budget",
-            Self::ComesBack => "all replicas count again",
+            Self::FullRecovery => "all replicas count again",
         }
     }
 }
 
-/// The code as it is, or broken on purpose.
+/// The implementation to simulate: the real one or one with an injected defect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RecordVariant {
-    /// As it is.
+    /// The real implementation.
     Sound,
-    /// A joining replica reads from one fewer than needed.
+    /// A joining replica reads from one source fewer than needed.
     CatchUpFromTooFew,
-    /// A joining replica counts at once.
+    /// A joining replica becomes active immediately.
     NoCatchUp,
-    /// Replicas accept writes of older views.
+    /// Replicas accept writes of older epochs.
     OldEpochsAccepted,
-    /// Replicas whose place was taken are forgotten at once.
+    /// Replaced replicas are dropped as sources immediately.
     FormerForgotten,
 }
 
 impl RecordVariant {
-    /// The broken ones.
+    /// All variants with a defect.
     pub const BROKEN: [Self; 4] = [
         Self::CatchUpFromTooFew,
         Self::NoCatchUp,
@@ -75,7 +75,7 @@
         Self::FormerForgotten,
     ];
 
-    /// Its name.
+    /// Name of the variant in reports.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
@@ -88,24 +88,24 @@
     }
 }
 
-/// What one seed came to.
+/// Result of one seed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RecordReport {
-    /// Turns kept.
+    /// Turns stored.
     pub kept: u64,
     /// Reservations granted.
     pub granted: u64,
-    /// Reservations refused since the budget is spent.
+    /// Reservations refused for lack of budget.
     pub spent: u64,
     /// Reads that found their turn.
     pub found: u64,
-    /// Views after the first.
+    /// View changes after the first view.
     pub views: u64,
     /// Disks lost.
     pub disks_lost: u64,
-    /// Machines out of reach for a while.
+    /// Times that a node became unreachable.
     pub cut_off: u64,
-    /// Broken promises, with what was seen.
+    /// Violated invariants with details.
     pub violations: Vec<(RecordPromise, String)>,
 }
 
@@ -113,8 +113,8 @@
     replica: RecordReplica,
     incarnation: u64,
     is_reachable: bool,
-    /// The view for which the store reads from others, and whom it has read from.
-    reading: Option<(RecordView, BTreeSet<NodeId>)>,
+    /// The view that the store catches up for, and the sources it has read.
+    catch_up: Option<(RecordView, BTreeSet<NodeId>)>,
 }
 
 enum Purpose {
@@ -128,7 +128,7 @@
     },
     Read {
         id: String,
-        was_kept: bool,
+        was_stored: bool,
         tally: MissTally,
     },
 }
@@ -136,43 +136,43 @@
 struct Operation {
     view: RecordView,
     record: Option<Record>,
-    /// Where the record stands in the files of all stores: numbers of turns serve as places.
+    /// Location of the record, alike in all stores: the number of a turn serves as its offset.
     location: Location,
     undelivered: Vec<NodeId>,
     purpose: Purpose,
 }
 
-struct World {
-    random: ChaCha8Rng,
+struct Simulation {
+    rng: ChaCha8Rng,
     variant: RecordVariant,
-    borne: usize,
+    max_lost_disks: usize,
     view: RecordView,
-    /// Replicas whose place was taken while another still joins: their disks are not lost.
+    /// Replicas whose replacement is still joining: the simulation does not lose their disks.
     displaced: BTreeSet<NodeId>,
-    /// Disks lost whose records are not yet on as many others.
-    lost: BTreeSet<NodeId>,
+    /// Lost disks whose records are not yet replicated again.
+    lost_disks: BTreeSet<NodeId>,
     writer_views: Vec<RecordView>,
     stores: BTreeMap<NodeId, Store>,
     machines: BTreeMap<NodeId, StoreMachine>,
     operations: Vec<Operation>,
     next_id: u64,
-    kept: Vec<String>,
+    stored_turns: Vec<String>,
     granted: BTreeMap<u64, u64>,
     report: RecordReport,
 }
 
-/// Runs one seed.
+/// Simulates one seed.
 #[must_use]
 pub fn run_seed(seed: u64, variant: RecordVariant) -> RecordReport {
-    let mut world = World::new(seed, variant);
+    let mut simulation = Simulation::new(seed, variant);
     for _ in 0..STEPS {
-        world.step();
-        if !world.report.violations.is_empty() {
-            return world.report;
+        simulation.step();
+        if !simulation.report.violations.is_empty() {
+            return simulation.report;
         }
     }
-    world.settle();
-    world.report
+    simulation.check_recovery();
+    simulation.report
 }
 
 fn turn(number: u64) -> Turn {
@@ -186,15 +186,15 @@
     }
 }
 
-fn place_of_turn(number: u64) -> Location {
+fn location_of_turn(number: u64) -> Location {
     Location {
         offset: number,
         ..Location::default()
     }
 }
 
-/// Reads an exported entry from the files, which a turn's place alone decides.
-fn read(entry: StoredEntry) -> (Record, Location) {
+/// Loads an exported entry. The location of a turn determines its content.
+fn load_entry(entry: StoredEntry) -> (Record, Location) {
     match entry {
         StoredEntry::Reservation(record) => (record, Location::default()),
         StoredEntry::Turn { location, keep_ms } => {
@@ -204,11 +204,11 @@
     }
 }
 
-impl World {
+impl Simulation {
     fn new(seed: u64, variant: RecordVariant) -> Self {
-        let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let borne = random.random_range(1..=2);
-        let count = 2 * borne + 1 + random.random_range(0..=2);
+        let mut rng = ChaCha8Rng::seed_from_u64(seed);
+        let max_lost_disks = rng.random_range(1..=2);
+        let count = 2 * max_lost_disks + 1 + rng.random_range(0..=2);
         let mut stores = BTreeMap::new();
         let mut machines = BTreeMap::new();
         for number in 1..=count as u32 {
@@ -218,7 +218,7 @@
                 replica: RecordReplica::default(),
                 incarnation,
                 is_reachable: true,
-                reading: None,
+                catch_up: None,
             };
             stores.insert(node, store);
             let machine = StoreMachine {
@@ -228,55 +228,55 @@
             };
             machines.insert(node, machine);
         }
-        let mut world = Self {
-            random,
+        let mut simulation = Self {
+            rng,
             variant,
-            borne,
+            max_lost_disks,
             view: RecordView::default(),
             displaced: BTreeSet::new(),
-            lost: BTreeSet::new(),
+            lost_disks: BTreeSet::new(),
             writer_views: Vec::new(),
             stores,
             machines,
             operations: Vec::new(),
             next_id: 0,
-            kept: Vec::new(),
+            stored_turns: Vec::new(),
             granted: BTreeMap::new(),
             report: RecordReport::default(),
         };
-        world.bring_all_in();
-        world.writer_views = vec![world.view.clone(); 3];
-        world
+        simulation.recover_all();
+        simulation.writer_views = vec![simulation.view.clone(); 3];
+        simulation
     }
 
     fn step(&mut self) {
-        match self.random.random_range(0..100) {
+        match self.rng.random_range(0..100) {
             0..50 => self.deliver(),
-            50..60 => self.begin_operation(),
+            50..60 => self.start_operation(),
             60..65 => self.refresh_writer(),
             65..72 => self.change_view(),
-            72..86 => self.read_on(),
+            72..86 => self.catch_up_step(),
             86..90 => self.lose_disk(),
-            90..95 => self.cut_off(),
-            _ => self.reach_again(),
+            90..95 => self.disconnect_node(),
+            _ => self.reconnect_node(),
         }
     }
 
-    fn begin_operation(&mut self) {
-        let Some(view) = self.writer_views.choose(&mut self.random).cloned() else {
+    fn start_operation(&mut self) {
+        let Some(view) = self.writer_views.choose(&mut self.rng).cloned() else {
             return;
         };
         self.next_id += 1;
         let id = self.next_id;
-        let (record, purpose) = match self.random.random_range(0..3) {
+        let (record, purpose) = match self.rng.random_range(0..3) {
             0 => {
                 let record = Record::Reserve {
                     program: PROGRAM.to_owned(),
                     reservation: id,
-                    most: MOST,
+                    most: MAX_TOKENS,
                     keep_ms: KEEP_MS,
                 };
-                let tally = ReservationTally::new(&view, id, MOST, BUDGET);
+                let tally = ReservationTally::new(&view, id, MAX_TOKENS, BUDGET);
                 (Some(record), Purpose::Reserve { id, tally })
             }
             1 => {
@@ -290,16 +290,16 @@
                 (Some(record), Purpose::Keep { id, tally })
             }
             _ => {
-                let Some(id) = self.kept.choose(&mut self.random).cloned() else {
+                let Some(id) = self.stored_turns.choose(&mut self.rng).cloned() else {
                     return;
                 };
                 let tally = MissTally::new(&view);
-                let was_kept = true;
+                let was_stored = true;
                 (
                     None,
                     Purpose::Read {
                         id,
-                        was_kept,
+                        was_stored,
                         tally,
                     },
                 )
@@ -309,43 +309,43 @@
         self.operations.push(Operation {
             view,
             record,
-            location: place_of_turn(id),
+            location: location_of_turn(id),
             undelivered,
             purpose,
         });
     }
 
-    /// Delivers one message of one operation, with its answer, or loses it.
+    /// Delivers or drops one message of one operation, with its reply.
     fn deliver(&mut self) {
         if self.operations.is_empty() {
             return;
         }
-        let index = self.random.random_range(0..self.operations.len());
+        let index = self.rng.random_range(0..self.operations.len());
         if self.operations[index].undelivered.is_empty() {
             self.operations.swap_remove(index);
             return;
         }
         let left = self.operations[index].undelivered.len();
-        let target = self.random.random_range(0..left);
+        let target = self.rng.random_range(0..left);
         let node = self.operations[index].undelivered.swap_remove(target);
-        let is_lost = self.random.random_range(0..20) == 0;
-        let accepted = !is_lost && self.accept(index, node);
-        if accepted && self.answer(index, node) {
+        let is_dropped = self.rng.random_range(0..20) == 0;
+        let accepted = !is_dropped && self.handle_request(index, node);
+        if accepted && self.handle_reply(index, node) {
             self.operations.swap_remove(index);
         }
     }
 
-    /// The store's side: whether it takes the request, and what it writes down.
-    fn accept(&mut self, index: usize, node: NodeId) -> bool {
+    /// Handles a request on the store's side. Returns whether the store accepts it.
+    fn handle_request(&mut self, index: usize, node: NodeId) -> bool {
         let operation = &self.operations[index];
-        let meant = operation.view.member(node).map(|member| member.incarnation);
+        let expected_incarnation = operation.view.member(node).map(|member| member.incarnation);
         let Some(store) = self.stores.get_mut(&node) else {
             return false;
         };
         let epoch = operation.view.epoch;
-        let is_old =
+        let is_outdated =
             epoch < store.replica.epoch() && self.variant != RecordVariant::OldEpochsAccepted;
-        if !store.is_reachable || meant != Some(store.incarnation) || is_old {
+        if !store.is_reachable || expected_incarnation != Some(store.incarnation) || is_outdated {
             return false;
         }
         store
@@ -357,8 +357,8 @@
         true
     }
 
-    /// The writer's side: whether the operation is decided.
-    fn answer(&mut self, index: usize, node: NodeId) -> bool {
+    /// Handles a reply on the writer's side. Returns whether the operation is complete.
+    fn handle_reply(&mut self, index: usize, node: NodeId) -> bool {
         let store = &self.stores[&node];
         let operation = &mut self.operations[index];
         match &mut operation.purpose {
@@ -378,16 +378,16 @@
                 }
             }
             Purpose::Keep { id, tally } => {
-                let is_kept = tally.on_stored(node);
-                if is_kept {
-                    self.kept.push(id.clone());
+                let is_stored = tally.on_stored(node);
+                if is_stored {
+                    self.stored_turns.push(id.clone());
                     self.report.kept += 1;
                 }
-                is_kept
+                is_stored
             }
             Purpose::Read {
                 id,
-                was_kept,
+                was_stored,
                 tally,
             } => {
                 if store.replica.chain(id).is_ok() {
@@ -395,14 +395,14 @@
                     return true;
                 }
                 let is_unknown = tally.on_missing(node);
-                if is_unknown && *was_kept {
+                if is_unknown && *was_stored {
                     let detail = format!(
-                        "turn {id} was kept, and epoch {} lacks it",
+                        "stored turn {id} is missing in epoch {}",
                         operation.view.epoch
                     );
                     self.report
                         .violations
-                        .push((RecordPromise::KeptTurn, detail));
+                        .push((RecordPromise::DurableTurn, detail));
                 }
                 is_unknown
             }
@@ -410,18 +410,18 @@
     }
 
     fn grant(&mut self, id: u64) {
-        self.granted.insert(id, u64::from(MOST));
+        self.granted.insert(id, u64::from(MAX_TOKENS));
         self.report.granted += 1;
         let sum: u64 = self.granted.values().sum();
         if sum > BUDGET {
-            let detail = format!("{sum} tokens are granted of {BUDGET}");
+            let detail = format!("granted {sum} tokens of a budget of {BUDGET}");
             self.report.violations.push((RecordPromise::Budget, detail));
         }
     }
 
     fn refresh_writer(&mut self) {
         let writers = self.writer_views.len();
-        let index = self.random.random_range(0..writers);
+        let index = self.rng.random_range(0..writers);
         self.writer_views[index] = self.view.clone();
     }
 
@@ -437,7 +437,7 @@
             stores: &self.machines,
             silent: &silent,
             retiring: &BTreeSet::new(),
-            wanted: 2 * self.borne + 1,
+            wanted: 2 * self.max_lost_disks + 1,
             replicas: &BTreeMap::new(),
             home: None,
         };
@@ -456,23 +456,23 @@
             }
         }
         let before = self.view.members.iter().map(|member| member.node);
-        let gone = before.filter(|node| next.member(*node).is_none());
-        self.displaced.extend(gone.collect::<Vec<_>>());
-        let is_whole = next.members.iter().all(|member| member.active);
-        if is_whole {
+        let removed = before.filter(|node| next.member(*node).is_none());
+        self.displaced.extend(removed.collect::<Vec<_>>());
+        let all_active = next.members.iter().all(|member| member.active);
+        if all_active {
             self.displaced.clear();
         }
         let stores = &self.stores;
-        self.lost.retain(|node| match next.member(*node) {
+        self.lost_disks.retain(|node| match next.member(*node) {
             Some(_) => !next.is_active(*node, stores[node].incarnation),
-            None => !is_whole,
+            None => !all_active,
         });
         self.view = next;
         self.report.views += 1;
     }
 
-    /// A joining store reads from one more source, or counts once it has read from enough.
-    fn read_on(&mut self) {
+    /// A joining store reads from one more source, and becomes active after enough sources.
+    fn catch_up_step(&mut self) {
         let joining: Vec<NodeId> = self
             .view
             .members
@@ -481,41 +481,41 @@
             .map(|member| member.node)
             .filter(|node| self.stores[node].is_reachable)
             .collect();
-        let Some(node) = joining.choose(&mut self.random).copied() else {
+        let Some(node) = joining.choose(&mut self.rng).copied() else {
             return;
         };
         let current = self.view.clone();
-        let reading = self
+        let catch_up = self
             .stores
             .get_mut(&node)
-            .and_then(|store| store.reading.take());
-        let (view, mut read) = reading.unwrap_or((current, BTreeSet::new()));
+            .and_then(|store| store.catch_up.take());
+        let (view, mut read) = catch_up.unwrap_or((current, BTreeSet::new()));
         let sources: Vec<(NodeId, u64)> = view
             .sources()
             .filter(|source| !read.contains(&source.node))
             .map(|source| (source.node, source.incarnation))
             .collect();
-        let source = sources.choose(&mut self.random).copied();
-        let has_read = source.is_some_and(|source| self.copy(view.epoch, source, node));
+        let source = sources.choose(&mut self.rng).copied();
+        let has_read = source.is_some_and(|source| self.copy_records(view.epoch, source, node));
         if let (true, Some((source, _))) = (has_read, source) {
             read.insert(source);
         }
-        let fewer = usize::from(self.variant == RecordVariant::CatchUpFromTooFew);
-        if read.len() + fewer >= view.sources_needed() {
+        let skipped_sources = usize::from(self.variant == RecordVariant::CatchUpFromTooFew);
+        if read.len() + skipped_sources >= view.sources_needed() {
             let incarnation = self.stores[&node].incarnation;
             if let Some(next) = self.view.activate(node, incarnation) {
                 self.adopt(next);
             }
             return;
         }
-        // A store begins again with a newer view, as its program does.
+        // As in production, a store restarts its catch-up when the view changes.
         let is_current = view.epoch == self.view.epoch;
         if let Some(store) = self.stores.get_mut(&node) {
-            store.reading = is_current.then_some((view, read));
+            store.catch_up = is_current.then_some((view, read));
         }
     }
 
-    fn copy(&mut self, epoch: u64, source: (NodeId, u64), to: NodeId) -> bool {
+    fn copy_records(&mut self, epoch: u64, source: (NodeId, u64), to: NodeId) -> bool {
         let Some(store) = self.stores.get_mut(&source.0) else {
             return false;
         };
@@ -530,16 +530,16 @@
             .export(0, &ExportCursor::default(), usize::MAX);
         if let Some(joining) = self.stores.get_mut(&to) {
             for entry in page.entries {
-                let (record, location) = read(entry);
+                let (record, location) = load_entry(entry);
                 joining.replica.apply(0, &record, location);
             }
         }
         true
     }
 
-    /// Loses a disk, if no more are lost at once than must be borne.
+    /// Loses a disk, if the tolerated number of lost disks permits.
     fn lose_disk(&mut self) {
-        if self.lost.len() >= self.borne {
+        if self.lost_disks.len() >= self.max_lost_disks {
             return;
         }
         let nodes: Vec<NodeId> = self
@@ -548,31 +548,31 @@
             .copied()
             .filter(|node| !self.displaced.contains(node))
             .collect();
-        let Some(node) = nodes.choose(&mut self.random).copied() else {
+        let Some(node) = nodes.choose(&mut self.rng).copied() else {
             return;
         };
         if self.view.member(node).is_some_and(|member| member.active) {
-            self.lost.insert(node);
+            self.lost_disks.insert(node);
         }
-        self.empty(node);
+        self.wipe_disk(node);
     }
 
-    fn empty(&mut self, node: NodeId) {
+    fn wipe_disk(&mut self, node: NodeId) {
         let Some(store) = self.stores.get_mut(&node) else {
             return;
         };
         store.replica = RecordReplica::default();
         store.incarnation += 1;
-        store.reading = None;
+        store.catch_up = None;
         if let Some(machine) = self.machines.get_mut(&node) {
             machine.incarnation = store.incarnation;
         }
         self.report.disks_lost += 1;
     }
 
-    fn cut_off(&mut self) {
+    fn disconnect_node(&mut self) {
         let nodes: Vec<NodeId> = self.stores.keys().copied().collect();
-        if let Some(node) = nodes.choose(&mut self.random)
+        if let Some(node) = nodes.choose(&mut self.rng)
             && let Some(store) = self.stores.get_mut(node)
         {
             store.is_reachable = false;
@@ -580,39 +580,39 @@
         }
     }
 
-    fn reach_again(&mut self) {
-        let cut_off: Vec<NodeId> = self
+    fn reconnect_node(&mut self) {
+        let unreachable: Vec<NodeId> = self
             .stores
             .iter()
             .filter(|(_, store)| !store.is_reachable)
             .map(|(node, _)| *node)
             .collect();
-        if let Some(node) = cut_off.choose(&mut self.random)
+        if let Some(node) = unreachable.choose(&mut self.rng)
             && let Some(store) = self.stores.get_mut(node)
         {
             store.is_reachable = true;
         }
     }
 
-    /// Lets all machines be reached, and expects all replicas to count in the end.
-    fn settle(&mut self) {
-        self.bring_all_in();
-        let is_whole = self.view.members.iter().all(|member| member.active);
-        if !is_whole {
-            let detail = format!("view {:?}", self.view);
+    /// Makes all nodes reachable and checks that all replicas become active.
+    fn check_recovery(&mut self) {
+        self.recover_all();
+        let all_active = self.view.members.iter().all(|member| member.active);
+        if !all_active {
+            let detail = format!("not all members are active: {:?}", self.view);
             self.report
                 .violations
-                .push((RecordPromise::ComesBack, detail));
+                .push((RecordPromise::FullRecovery, detail));
         }
     }
 
-    fn bring_all_in(&mut self) {
+    fn recover_all(&mut self) {
         for store in self.stores.values_mut() {
             store.is_reachable = true;
         }
-        for _ in 0..SETTLING_STEPS {
+        for _ in 0..RECOVERY_STEPS {
             self.change_view();
-            self.read_on();
+            self.catch_up_step();
         }
     }
 }
--- a/crates/courseshed-records/tests/simulation.rs
+++ b/crates/courseshed-records/tests/simulation.rs
@@ -1,4 +1,4 @@
-//! The simulation of the records: no promise is broken, and it would see if one were.
+//! Runs the simulation, and checks that it detects injected defects.
 
 use courseshed_records::simulation::{RecordVariant, run_seed};
 use yare::parameterized;
@@ -6,7 +6,7 @@
 const SEEDS: u64 = 1500;
 
 #[test]
-fn no_promise_is_broken() {
+fn invariants_hold() {
     for seed in 0..SEEDS {
         let report = run_seed(seed, RecordVariant::Sound);
         assert!(report.violations.is_empty(), "seed {seed}: {report:?}");
@@ -19,7 +19,7 @@
     old_epochs_accepted = { RecordVariant::OldEpochsAccepted },
     former_forgotten = { RecordVariant::FormerForgotten },
 )]
-fn a_variant_broken_on_purpose_is_caught(variant: RecordVariant) {
-    let is_caught = |seed: &u64| !run_seed(*seed, variant).violations.is_empty();
-    assert!((0..SEEDS).any(|seed| is_caught(&seed)));
+fn injected_defects_are_detected(variant: RecordVariant) {
+    let is_detected = |seed: &u64| !run_seed(*seed, variant).violations.is_empty();
+    assert!((0..SEEDS).any(|seed| is_detected(&seed)));
 }
