--- a/crates/courseshed-registry/src/avoidance.rs
+++ b/crates/courseshed-registry/src/avoidance.rs
@@ -1,59 +1,59 @@
-//! Whether a server is avoided, for how long, and when it is trusted again. Pure: times are passed in.
+//! Avoidance of failing servers (outlier ejection with exponential backoff and half-open probing).
+//! The caller passes times in.
 //!
-//! A failing server gets no calls for a while that grows as it fails again. Then it is probed: one call
-//! at a time, by about one gateway at a time. A failed probe begins another while; after some answered
-//! ones it is trusted. All gateways see nearly the same counts and so come to nearly the same.
+//! A failing server receives no calls for a backoff period that grows with repeated failures.
+//! Then it is probed with one call at a time, by about one gateway at a time. A failed probe starts
+//! another backoff period; after enough successful probes the server receives calls again. All
+//! gateways see nearly the same counts and therefore reach nearly the same decisions.
 //!
-//! Invariants: what was counted before a server was probed never decides whether it is trusted, nor
-//! whether it is avoided again; of a service no more than half of the servers are avoided, else none is.
+//! Invariants: outcomes from before the probes never affect whether a server is restored or avoided
+//! again. At most half of the servers of a service are avoided; if more fail, none is.
 
 use std::time::Duration;
 
-use crate::outcomes::{FadingCounts, OutcomeCounts, fails_as_a_whole, far_above_others};
+use crate::outcomes::{FadingCounts, OutcomeCounts, failure_rate_outliers, has_shared_cause};
 
-/// How long a server is avoided before it is probed for the first time. Reports of the calls that were
-/// under way come within two or three exchanges of 80 ms and up; before that nothing new is known.
-const FIRST_WHILE: Duration = Duration::from_millis(500);
-/// The longest such while: a server that is sound again is to be back within about two seconds, and its
-/// probes and what gateways tell of them take one.
-const LONGEST_WHILE: Duration = Duration::from_secs(1);
-/// After so long without being avoided a server's first while is short again.
-const FORGIVEN_AFTER: Duration = Duration::from_secs(15);
-/// From one probe to the next of all gateways, on the average: a bit longer than an exchange, so that
-/// others mostly know of a failed probe before they make one.
+/// Backoff before the first probe. Covers two or three round trips over a slow link, after which
+/// the outcomes of the calls in flight have been reported.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(500);
+/// Maximum backoff, which bounds how long a recovered server remains unused.
+const MAX_BACKOFF: Duration = Duration::from_secs(1);
+/// Time without avoidance after which the backoff is reset.
+const BACKOFF_RESET_AFTER: Duration = Duration::from_secs(15);
+/// Mean interval between probes of all gateways. Exceeds a round trip, so that gateways usually
+/// learn of a failed probe before they send another.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
-/// Probes answered before a server is trusted. One that fails 4 calls in 10 passes once in eight times.
-const SOUND_PROBES: f64 = 4.0;
-/// What is left of that number when the probes took some time and were told to others.
-const FADED: f64 = 0.8;
-/// After so long without a failed probe, and again after each further such time, half as many answered
-/// ones are enough, and half as many gateways wait for their turn: a service with few calls gets no more
-/// probes than it has calls.
-const PATIENCE: Duration = Duration::from_secs(1);
-/// The least that is left of answered probes when a server is trusted: one, about a second ago.
-const LEAST_SOUND: f64 = 0.4;
-/// A failure since the probes began: one call, or what is left of it when others hear of it.
-const A_FAILURE: f64 = 0.5;
+/// Successful probes required to restore a server.
+const REQUIRED_PROBE_SUCCESSES: f64 = 4.0;
+/// Share of [`REQUIRED_PROBE_SUCCESSES`] that remains after decay until the outcomes are reported.
+const DECAY_ALLOWANCE: f64 = 0.8;
+/// Time after which the required probe successes and the number of gateways that take turns are
+/// halved, repeatedly, so that a service with few calls can still restore a server.
+const PROBE_RELAXATION_PERIOD: Duration = Duration::from_secs(1);
+/// Lower bound of the decayed probe successes: a single success about a second ago.
+const MIN_PROBE_SUCCESSES: f64 = 0.4;
+/// Decayed failure count that fails a probe: one call, allowing for reporting delay.
+const PROBE_FAILURE_THRESHOLD: f64 = 0.5;
 
-/// How a server stands with a gateway.
+/// How a gateway treats a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Standing {
-    /// It gets calls like any other.
+    /// Receives calls as usual.
     Trusted,
-    /// It gets one call now, to see whether it is sound.
+    /// Receives one call as a probe.
     Probed,
-    /// It gets calls only when no other server is open.
+    /// Receives calls only if no other server is available.
     Avoided,
 }
 
-/// What changed.
+/// A transition of a server's avoidance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvoidanceChange {
     /// The server is avoided from now on.
     Begun,
-    /// It failed a probe, and isn't probed for a longer while.
+    /// A probe failed and the backoff was extended.
     Prolonged,
-    /// It is trusted again.
+    /// The server receives calls again.
     Ended,
 }
 
@@ -61,7 +61,7 @@
 enum Phase {
     #[default]
     Trusted,
-    Shunned {
+    Backoff {
         until: Duration,
     },
     Probed {
@@ -70,22 +70,22 @@
     },
 }
 
-/// The avoidance of one server.
+/// Avoidance state of one server.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Avoidance {
     phase: Phase,
-    /// Whiles since the server was sound for long.
-    whiles: u32,
-    /// When it was trusted last.
-    trusted_at: Duration,
-    /// What had been counted when the probes began; that no longer counts.
-    before: FadingCounts,
-    /// Calls there that are no probes: streams that began before go on for long.
-    calls_before: u32,
+    /// Consecutive backoff periods since the last reset.
+    consecutive_backoffs: u32,
+    /// When the server was last restored.
+    restored_at: Duration,
+    /// Outcomes counted before the probes, which are ignored.
+    baseline: FadingCounts,
+    /// Calls in flight that are no probes, such as long streams.
+    baseline_calls: u32,
 }
 
-/// Goes on with the servers of one service, each with all that was counted of it. Returns what changed,
-/// in the same order.
+/// Updates the avoidance of the servers of one service from their outcome counts. Returns the
+/// transitions in the same order.
 pub fn advance_service(
     service: &mut [(&mut Avoidance, OutcomeCounts)],
     now: Duration,
@@ -94,13 +94,13 @@
         .iter()
         .map(|(avoidance, counts)| avoidance.fresh(counts, now))
         .collect();
-    let failing = far_above_others(&fresh);
+    let failing = failure_rate_outliers(&fresh);
     let avoided = service.iter().zip(&failing);
     let avoided = avoided.filter(|((avoidance, _), failing)| avoidance.is_on() || **failing);
-    if 2 * avoided.count() > service.len() || fails_as_a_whole(&fresh) {
+    if 2 * avoided.count() > service.len() || has_shared_cause(&fresh) {
         let servers = service.iter_mut();
         return servers
-            .map(|(avoidance, counts)| avoidance.release(counts, now))
+            .map(|(avoidance, counts)| avoidance.cancel(counts, now))
             .collect();
     }
     let servers = service.iter_mut().zip(failing);
@@ -109,22 +109,22 @@
         .collect()
 }
 
-/// What decides who makes a probe.
+/// Inputs that determine whether a gateway may send a probe.
 #[derive(Clone, Copy, Debug)]
 pub struct ProbeTurn {
-    /// A number that differs by gateway and by server.
+    /// Differs between gateways and between servers.
     pub seed: u64,
-    /// How many gateways there are.
+    /// Number of gateways.
     pub gateways: u32,
-    /// Calls of all gateways there, as far as known.
+    /// Known calls in flight to the server from all gateways.
     pub calls: u32,
 }
 
 impl Avoidance {
-    /// What was counted since the server was probed last.
+    /// Outcomes counted since the server was last probed.
     #[must_use]
     pub fn fresh(&self, counts: &OutcomeCounts, now: Duration) -> OutcomeCounts {
-        counts.beyond(&self.before.at(now))
+        counts.beyond(&self.baseline.at(now))
     }
 
     /// Whether the server is avoided or probed.
@@ -133,7 +133,7 @@
         self.phase != Phase::Trusted
     }
 
-    /// Goes on with all that was counted of the server, and whether what is fresh of it is failing.
+    /// Updates the state from all outcomes and from whether the recent ones are failing.
     pub fn advance(
         &mut self,
         counts: &OutcomeCounts,
@@ -142,90 +142,95 @@
     ) -> Option<AvoidanceChange> {
         match self.phase {
             Phase::Trusted if is_failing => {
-                if now.saturating_sub(self.trusted_at) > FORGIVEN_AFTER {
-                    self.whiles = 0;
+                if now.saturating_sub(self.restored_at) > BACKOFF_RESET_AFTER {
+                    self.consecutive_backoffs = 0;
                 }
-                self.shun(now);
+                self.back_off(now);
                 Some(AvoidanceChange::Begun)
             }
-            Phase::Shunned { until } if until <= now => {
+            Phase::Backoff { until } if until <= now => {
                 self.phase = Phase::Probed {
                     since: now,
                     last_probe: None,
                 };
-                self.before = FadingCounts::new(*counts, now);
+                self.baseline = FadingCounts::new(*counts, now);
                 None
             }
-            Phase::Probed { since, .. } => self.judge_probes(counts, since, now),
+            Phase::Probed { since, .. } => self.evaluate_probes(counts, since, now),
             _ => None,
         }
     }
 
-    /// Ends the avoidance since too many fail: the cause is elsewhere.
-    fn release(&mut self, counts: &OutcomeCounts, now: Duration) -> Option<AvoidanceChange> {
+    /// Ends the avoidance because too many servers fail, which points to a shared cause.
+    fn cancel(&mut self, counts: &OutcomeCounts, now: Duration) -> Option<AvoidanceChange> {
         if !self.is_on() {
             return None;
         }
-        self.before = FadingCounts::new(*counts, now);
-        self.trust(now)
+        self.baseline = FadingCounts::new(*counts, now);
+        self.restore(now)
     }
 
-    fn trust(&mut self, now: Duration) -> Option<AvoidanceChange> {
+    fn restore(&mut self, now: Duration) -> Option<AvoidanceChange> {
         self.phase = Phase::Trusted;
-        self.trusted_at = now;
+        self.restored_at = now;
         Some(AvoidanceChange::Ended)
     }
 
-    fn judge_probes(
+    fn evaluate_probes(
         &mut self,
         counts: &OutcomeCounts,
         since: Duration,
         now: Duration,
     ) -> Option<AvoidanceChange> {
         let fresh = self.fresh(counts, now);
-        if fresh.failed >= A_FAILURE {
-            self.shun(now);
+        if fresh.failed >= PROBE_FAILURE_THRESHOLD {
+            self.back_off(now);
             return Some(AvoidanceChange::Prolonged);
         }
-        let enough = SOUND_PROBES * FADED * impatience(since, now);
-        if fresh.answered < enough.max(LEAST_SOUND) {
+        let required_successes =
+            REQUIRED_PROBE_SUCCESSES * DECAY_ALLOWANCE * relaxation_factor(since, now);
+        if fresh.answered < required_successes.max(MIN_PROBE_SUCCESSES) {
             return None;
         }
-        self.trust(now)
+        self.restore(now)
     }
 
-    fn shun(&mut self, now: Duration) {
-        let grown = FIRST_WHILE * 2u32.saturating_pow(self.whiles.min(8));
-        self.whiles = self.whiles.saturating_add(1);
-        self.phase = Phase::Shunned {
-            until: now + grown.min(LONGEST_WHILE),
+    fn back_off(&mut self, now: Duration) {
+        let backoff = INITIAL_BACKOFF * 2u32.saturating_pow(self.consecutive_backoffs.min(8));
+        self.consecutive_backoffs = self.consecutive_backoffs.saturating_add(1);
+        self.phase = Phase::Backoff {
+            until: now + backoff.min(MAX_BACKOFF),
         };
     }
 
-    /// Notes how many calls of all gateways are there, as far as known; to be said before going on.
+    /// Updates the known calls in flight from all gateways. Must be called before
+    /// [`Self::advance`].
     pub fn note_calls(&mut self, calls: u32) {
-        self.calls_before = match self.phase {
-            Phase::Probed { .. } => self.calls_before.min(calls),
-            Phase::Trusted | Phase::Shunned { .. } => calls,
+        self.baseline_calls = match self.phase {
+            Phase::Probed { .. } => self.baseline_calls.min(calls),
+            Phase::Trusted | Phase::Backoff { .. } => calls,
         };
     }
 
-    /// Notes that a call goes to the server.
+    /// Registers that a call was sent to the server.
     pub fn note_sent(&mut self, now: Duration) {
         if let Phase::Probed { last_probe, .. } = &mut self.phase {
             *last_probe = Some(now);
         }
     }
 
-    /// How the server stands with a gateway.
+    /// How a gateway should treat the server now.
     #[must_use]
     pub fn standing(&self, turn: ProbeTurn, now: Duration) -> Standing {
         match self.phase {
             Phase::Trusted => Standing::Trusted,
-            Phase::Shunned { .. } => Standing::Avoided,
+            Phase::Backoff { .. } => Standing::Avoided,
             Phase::Probed { since, last_probe } => {
-                let rested = last_probe.is_none_or(|last| now >= last + PROBE_INTERVAL);
-                if rested && turn.calls <= self.calls_before && turn.is_now(since, now) {
+                let interval_elapsed = last_probe.is_none_or(|last| now >= last + PROBE_INTERVAL);
+                if interval_elapsed
+                    && turn.calls <= self.baseline_calls
+                    && turn.may_probe(since, now)
+                {
                     Standing::Probed
                 } else {
                     Standing::Avoided
@@ -236,24 +241,27 @@
 }
 
 impl ProbeTurn {
-    /// In each interval each gateway has its turn with the chance of one in all gateways, at first.
-    fn is_now(&self, since: Duration, now: Duration) -> bool {
+    /// Selects each gateway with a probability of one in the number of gateways per probe interval.
+    /// The probability increases over time.
+    fn may_probe(&self, since: Duration, now: Duration) -> bool {
         let interval = (now.as_millis() / PROBE_INTERVAL.as_millis()) as u64;
-        let gateways = f64::from(self.gateways) * impatience(since, now);
-        mix(self.seed ^ mix(interval)).is_multiple_of((gateways as u64).max(1))
+        let gateways = f64::from(self.gateways) * relaxation_factor(since, now);
+        splitmix64(self.seed ^ splitmix64(interval)).is_multiple_of((gateways as u64).max(1))
     }
 }
 
-/// 1 at first, halved with each [`PATIENCE`] that has passed since the first one.
-fn impatience(since: Duration, now: Duration) -> f64 {
-    let waited = now.saturating_sub(since + PATIENCE).as_secs_f64();
-    (-waited / PATIENCE.as_secs_f64()).exp2()
+/// 1 during the first [`PROBE_RELAXATION_PERIOD`], then halved with each further one.
+fn relaxation_factor(since: Duration, now: Duration) -> f64 {
+    let relaxed_for = now
+        .saturating_sub(since + PROBE_RELAXATION_PERIOD)
+        .as_secs_f64();
+    (-relaxed_for / PROBE_RELAXATION_PERIOD.as_secs_f64()).exp2()
 }
 
-/// Spreads numbers evenly (the finishing step of SplitMix64).
-fn mix(number: u64) -> u64 {
-    let mixed = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
-    let mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    let mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^ (mixed >> 31)
+/// Finalizer of SplitMix64.
+fn splitmix64(number: u64) -> u64 {
+    let value = number.wrapping_add(0x9e37_79b9_7f4a_7c15);
+    let value = (value ^ (value >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    let value = (value ^ (value >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    value ^ (value >> 31)
 }
--- a/crates/courseshed-registry/src/outcomes.rs
+++ b/crates/courseshed-registry/src/outcomes.rs
@@ -1,44 +1,41 @@
-//! What became of the calls at servers: whether a server fails far more of them than the others of its
-//! service. Pure: times are passed in.
+//! Call outcomes by server, and detection of servers that fail far more calls than their peers. The
+//! caller passes times in.
 //!
-//! Counts are totals that fade with a half-life, so that the newest report of a gateway says all there is
-//! to say: a lost report is made good by the next one, and one that comes twice changes nothing.
+//! Counts are totals with exponential decay, so the newest report of a gateway is complete by
+//! itself: a lost report is made up for by the next one, and a duplicate changes nothing.
 //!
-//! Invariants: what servers of a service fail alike never makes one of them failing; of a service no more
-//! than half of the servers are failing, else none is.
+//! Invariants: failures common to all servers of a service never mark a server as failing. At most
+//! half of the servers of a service are marked; if more fail, none is.
 
 use std::time::Duration;
 
-/// After this time a call counts half. Long enough that a server with 50 calls a second is judged by
-/// some 70 of them, short enough that a sound server's past is forgotten within a few seconds.
+/// Half-life of the counts. Must be long enough to collect sufficient calls for a decision and
+/// short enough for a recovered server to be noticed within a few seconds.
 const HALF_LIFE: Duration = Duration::from_secs(1);
-/// The share of calls that servers fail ordinarily: applications answer about 1 call in 100 with an
-/// error of their own, and that is no reason to take a server out.
-const ORDINARY_SHARE: f64 = 0.01;
-/// How many times what the others fail a server must fail at least.
-const FAR_ABOVE: f64 = 2.0;
-/// A server that fails a smaller share is kept: the calls that it takes off the others are worth more
-/// than the few that it loses.
-const LEAST_SHARE: f64 = 0.08;
-/// If even the better half of the servers fail such a share, the cause is elsewhere, and calls that are
-/// kept from one server only fail at another.
-const WHOLE_SERVICE_SHARE: f64 = 0.25;
-/// How likely a server that fails no more than the others may be to look like a failing one, by chance
-/// alone. Callers lose a call that can't be repeated with each failure, so the proof must be short: at
-/// this chance four failures in a row are enough, as they come by chance once in 100 million. Two in a
-/// row come once in 10,000 pairs, which is each second at 20,000 calls a second.
-const CHANCE: f64 = 1e-7;
-
-/// What became of a call.
+/// Failure rate regarded as normal, since applications answer some calls with errors of their own.
+const NORMAL_FAILURE_RATE: f64 = 0.01;
+/// Minimum ratio of a failing server's failure rate to that of its peers.
+const MIN_RATE_RATIO: f64 = 2.0;
+/// Minimum failure rate of a failing server. Below it, the server's capacity is worth more than the
+/// calls it fails.
+const MIN_FAILURE_RATE: f64 = 0.08;
+/// Failure rate of the better half of the servers from which on the cause is assumed to be shared,
+/// so that avoiding single servers would not help.
+const SHARED_CAUSE_FAILURE_RATE: f64 = 0.25;
+/// Bound on the probability of marking a server that is no worse than its peers. Four consecutive
+/// failures reach it; two would be too frequent by chance under high load.
+const FALSE_POSITIVE_PROBABILITY: f64 = 1e-7;
+
+/// Outcome of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ServerOutcome {
-    /// The server answered it, be it with a refusal of what was asked.
+    /// The server answered, possibly with a client error.
     Answered,
-    /// The server answered with an error of its own, or gave no whole answer.
+    /// The server answered with a server error or an incomplete response.
     Failed,
 }
 
-/// Calls that servers answered and failed; fractions of calls, since they fade.
+/// Answered and failed calls. Fractional due to decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OutcomeCounts {
     /// Answered calls.
@@ -48,9 +45,9 @@
 }
 
 impl OutcomeCounts {
-    /// The share of the calls that failed; 0 without calls.
+    /// Share of failed calls; 0 if there are no calls.
     #[must_use]
-    pub fn failed_share(&self) -> f64 {
+    pub fn failure_rate(&self) -> f64 {
         let calls = self.answered + self.failed;
         if calls > 0.0 {
             self.failed / calls
@@ -59,17 +56,17 @@
         }
     }
 
-    /// The counts after they faded for a time.
+    /// The counts after decay over a time.
     #[must_use]
     pub fn faded(&self, age: Duration) -> Self {
-        let left = (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
+        let remaining = (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
         Self {
-            answered: self.answered * left,
-            failed: self.failed * left,
+            answered: self.answered * remaining,
+            failed: self.failed * remaining,
         }
     }
 
-    /// Both together.
+    /// Sum of two counts.
     #[must_use]
     pub fn plus(&self, other: &Self) -> Self {
         Self {
@@ -78,7 +75,7 @@
         }
     }
 
-    /// What is more than in others that were counted before; never less than nothing.
+    /// Difference to earlier counts, at least 0.
     #[must_use]
     pub fn beyond(&self, before: &Self) -> Self {
         Self {
@@ -88,7 +85,7 @@
     }
 }
 
-/// Counts that fade.
+/// Counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct FadingCounts {
     counts: OutcomeCounts,
@@ -96,7 +93,7 @@
 }
 
 impl FadingCounts {
-    /// Counts as they are at a time.
+    /// Starts with the given counts at a time.
     #[must_use]
     pub fn new(counts: OutcomeCounts, at: Duration) -> Self {
         Self { counts, at }
@@ -112,18 +109,17 @@
         *self = Self::new(counts, now);
     }
 
-    /// What is left of them at a time.
+    /// The decayed counts at a time.
     #[must_use]
     pub fn at(&self, now: Duration) -> OutcomeCounts {
         self.counts.faded(now.saturating_sub(self.at))
     }
 }
 
-/// Which servers of a service are failing, in the order of the counts: those that fail far more than the
-/// others, unless they are most.
+/// Marks the failing servers of a service, in input order. None are marked if most are failing.
 #[must_use]
 pub fn failing_servers(service: &[OutcomeCounts]) -> Vec<bool> {
-    let failing = far_above_others(service);
+    let failing = failure_rate_outliers(service);
     let number = failing.iter().filter(|failing| **failing).count();
     if 2 * number > service.len() {
         return vec![false; service.len()];
@@ -131,36 +127,37 @@
     failing
 }
 
-/// Which servers of a service fail far more than the others, be they most.
-pub(crate) fn far_above_others(service: &[OutcomeCounts]) -> Vec<bool> {
-    let order = by_share(service);
-    let judged = service.iter().enumerate();
-    judged
+/// Marks servers that fail far more calls than their peers, even if they are the majority.
+pub(crate) fn failure_rate_outliers(service: &[OutcomeCounts]) -> Vec<bool> {
+    let order = order_by_failure_rate(service);
+    let indexed = service.iter().enumerate();
+    indexed
         .map(|(index, counts)| {
-            is_worth_a_look(counts) && is_failing(counts, usual_share(service, &order, index))
+            has_enough_failures(counts)
+                && is_failing(counts, peer_failure_rate(service, &order, index))
         })
         .collect()
 }
 
-/// Whether even the better half of the servers fail so much that the cause must be elsewhere.
-pub(crate) fn fails_as_a_whole(service: &[OutcomeCounts]) -> bool {
-    let order = by_share(service);
+/// Whether even the better half of the servers fail so many calls that the cause must be shared.
+pub(crate) fn has_shared_cause(service: &[OutcomeCounts]) -> bool {
+    let order = order_by_failure_rate(service);
     let better = order.iter().take(service.len().div_ceil(2));
-    sum_of(service, better).failed_share() >= WHOLE_SERVICE_SHARE
+    sum_counts(service, better).failure_rate() >= SHARED_CAUSE_FAILURE_RATE
 }
 
-/// The indices of the servers, those that fail the smallest share first.
-fn by_share(service: &[OutcomeCounts]) -> Vec<usize> {
-    let mut shares: Vec<(f64, usize)> = service
+/// Indexes of the servers in order of increasing failure rate.
+fn order_by_failure_rate(service: &[OutcomeCounts]) -> Vec<usize> {
+    let mut failure_rates: Vec<(f64, usize)> = service
         .iter()
-        .map(OutcomeCounts::failed_share)
+        .map(OutcomeCounts::failure_rate)
         .zip(0..)
         .collect();
-    shares.sort_by(|left, right| left.0.total_cmp(&right.0));
-    shares.into_iter().map(|(_, index)| index).collect()
+    failure_rates.sort_by(|left, right| left.0.total_cmp(&right.0));
+    failure_rates.into_iter().map(|(_, index)| index).collect()
 }
 
-fn sum_of<'a>(
+fn sum_counts<'a>(
     service: &[OutcomeCounts],
     indices: impl Iterator<Item = &'a usize>,
 ) -> OutcomeCounts {
@@ -169,32 +166,32 @@
     })
 }
 
-fn is_worth_a_look(counts: &OutcomeCounts) -> bool {
-    counts.failed > 1.0 && counts.failed_share() >= LEAST_SHARE
+fn has_enough_failures(counts: &OutcomeCounts) -> bool {
+    counts.failed > 1.0 && counts.failure_rate() >= MIN_FAILURE_RATE
 }
 
-/// What the better half of a server's fellows fail. The worse half is left out, since more than one
-/// server may fail at a time, and those draw most calls.
-fn usual_share(service: &[OutcomeCounts], order: &[usize], judged: usize) -> f64 {
-    let fellows = service.len().saturating_sub(1);
-    let others = order.iter().filter(|index| **index != judged);
-    let better = others.take(fellows.div_ceil(2));
-    sum_of(service, better).failed_share()
+/// Failure rate of the better half of a server's peers. The worse half is excluded since several
+/// servers may fail at a time, and failing servers attract most calls.
+fn peer_failure_rate(service: &[OutcomeCounts], order: &[usize], candidate: usize) -> f64 {
+    let peers = service.len().saturating_sub(1);
+    let others = order.iter().filter(|index| **index != candidate);
+    let better = others.take(peers.div_ceil(2));
+    sum_counts(service, better).failure_rate()
 }
 
-/// Whether failures are too many to have come by chance at a server like the others. By Chernoff's bound
-/// that chance is at most exp(-calls x divergence of the shares).
-fn is_failing(counts: &OutcomeCounts, usual_share: f64) -> bool {
-    let usual = (FAR_ABOVE * usual_share).max(ORDINARY_SHARE);
-    let share = counts.failed_share();
-    if share <= usual {
+/// Whether the failures are unlikely for a server with the failure rate of its peers. The Chernoff
+/// bound limits that probability to exp(-calls * relative entropy).
+fn is_failing(counts: &OutcomeCounts, peer_failure_rate: f64) -> bool {
+    let expected_rate = (MIN_RATE_RATIO * peer_failure_rate).max(NORMAL_FAILURE_RATE);
+    let failure_rate = counts.failure_rate();
+    if failure_rate <= expected_rate {
         return false;
     }
-    let of_failed = counts.failed * (share / usual).ln();
-    let of_answered = if share < 1.0 {
-        counts.answered * ((1.0 - share) / (1.0 - usual)).ln()
+    let failed_term = counts.failed * (failure_rate / expected_rate).ln();
+    let answered_term = if failure_rate < 1.0 {
+        counts.answered * ((1.0 - failure_rate) / (1.0 - expected_rate)).ln()
     } else {
         0.0
     };
-    of_failed + of_answered >= -CHANCE.ln()
+    failed_term + answered_term >= -FALSE_POSITIVE_PROBABILITY.ln()
 }
--- a/crates/courseshed-registry/tests/outcomes.rs
+++ b/crates/courseshed-registry/tests/outcomes.rs
@@ -1,4 +1,4 @@
-//! Which servers are judged to be failing, when they are avoided, and when they are trusted again.
+//! Detection of failing servers, and their avoidance and restoration.
 
 use std::time::Duration;
 
@@ -15,10 +15,10 @@
     OutcomeCounts { answered, failed }
 }
 
-/// Servers alike, and some that differ.
-fn service(sound: OutcomeCounts, odd: &[OutcomeCounts]) -> Vec<OutcomeCounts> {
-    let mut service = vec![sound; SERVERS - odd.len()];
-    service.extend(odd);
+/// Identical servers plus the given outliers.
+fn service(healthy: OutcomeCounts, outliers: &[OutcomeCounts]) -> Vec<OutcomeCounts> {
+    let mut service = vec![healthy; SERVERS - outliers.len()];
+    service.extend(outliers);
     service
 }
 
@@ -36,14 +36,14 @@
     five_in_100 = { counts(950.0, 50.0), 0 },
     one_in_100 = { counts(396.0, 4.0), 0 },
 )]
-fn a_server_that_fails_far_more_than_the_others_is_failing(odd: OutcomeCounts, expected: usize) {
-    assert_eq!(failing(&service(counts(70.0, 0.0), &[odd])), expected);
+fn server_far_worse_than_its_peers_is_failing(outlier: OutcomeCounts, expected: usize) {
+    assert_eq!(failing(&service(counts(70.0, 0.0), &[outlier])), expected);
 }
 
 #[test]
-fn failing_servers_that_draw_most_calls_do_not_hide_each_other() {
-    let odd = [counts(0.0, 4_000.0); 10];
-    assert_eq!(failing(&service(counts(70.0, 1.0), &odd)), 10);
+fn failing_servers_with_most_calls_do_not_mask_each_other() {
+    let outliers = [counts(0.0, 4_000.0); 10];
+    assert_eq!(failing(&service(counts(70.0, 1.0), &outliers)), 10);
 }
 
 #[parameterized(
@@ -51,27 +51,27 @@
     all_fail_half = { counts(35.0, 35.0) },
     all_fail_some = { counts(63.0, 7.0) },
 )]
-fn what_all_fail_alike_makes_none_failing(alike: OutcomeCounts) {
-    assert_eq!(failing(&service(alike, &[])), 0);
-    assert_eq!(failing(&[alike]), 0);
+fn service_wide_failures_mark_no_server(common: OutcomeCounts) {
+    assert_eq!(failing(&service(common, &[])), 0);
+    assert_eq!(failing(&[common]), 0);
 }
 
 #[test]
-fn none_is_failing_if_most_are() {
-    let odd = [counts(0.0, 70.0); 23];
-    assert_eq!(failing(&service(counts(70.0, 0.0), &odd)), 0);
-    assert_eq!(failing(&service(counts(70.0, 0.0), &odd[..20])), 20);
+fn no_server_is_failing_if_most_are() {
+    let outliers = [counts(0.0, 70.0); 23];
+    assert_eq!(failing(&service(counts(70.0, 0.0), &outliers)), 0);
+    assert_eq!(failing(&service(counts(70.0, 0.0), &outliers[..20])), 20);
 }
 
 #[test]
-fn counts_fade_by_half_each_second() {
-    let mut fading = FadingCounts::default();
+fn counts_halve_each_second() {
+    let mut decaying = FadingCounts::default();
     for _ in 0..8 {
-        fading.note(ServerOutcome::Failed, NOW);
+        decaying.note(ServerOutcome::Failed, NOW);
     }
-    fading.note(ServerOutcome::Answered, NOW + Duration::from_secs(1));
-    let left = fading.at(NOW + Duration::from_secs(2));
-    assert!((left.failed - 2.0).abs() < 1e-9 && (left.answered - 0.5).abs() < 1e-9);
+    decaying.note(ServerOutcome::Answered, NOW + Duration::from_secs(1));
+    let remaining = decaying.at(NOW + Duration::from_secs(2));
+    assert!((remaining.failed - 2.0).abs() < 1e-9 && (remaining.answered - 0.5).abs() < 1e-9);
 }
 
 const TURN: ProbeTurn = ProbeTurn {
@@ -80,35 +80,35 @@
     calls: 0,
 };
 
-/// One gateway's view of three servers of which one failed.
-struct Watched {
+/// A gateway's view of three servers, of which the second one failed.
+struct AvoidedServer {
     avoidances: [Avoidance; 3],
     counts: FadingCounts,
     now: Duration,
 }
 
-impl Watched {
+impl AvoidedServer {
     fn failed() -> Self {
-        let mut watched = Self {
+        let mut avoided = Self {
             avoidances: [Avoidance::default(); 3],
             counts: FadingCounts::default(),
             now: NOW,
         };
         for _ in 0..5 {
-            watched.counts.note(ServerOutcome::Failed, NOW);
+            avoided.counts.note(ServerOutcome::Failed, NOW);
         }
-        assert_eq!(watched.advance(), Some(AvoidanceChange::Begun));
-        watched
+        assert_eq!(avoided.advance(), Some(AvoidanceChange::Begun));
+        avoided
     }
 
     fn advance(&mut self) -> Option<AvoidanceChange> {
         let counts = self.counts.at(self.now);
-        let sound = OutcomeCounts {
+        let healthy = OutcomeCounts {
             answered: 70.0,
             failed: 0.0,
         };
         let [first, second, third] = &mut self.avoidances;
-        let mut service = [(first, sound), (second, counts), (third, sound)];
+        let mut service = [(first, healthy), (second, counts), (third, healthy)];
         let changes = advance_service(&mut service, self.now);
         assert_eq!((changes[0], changes[2]), (None, None));
         changes[1]
@@ -118,9 +118,10 @@
         self.avoidances[1].standing(TURN, self.now)
     }
 
-    /// Waits for the next probe and answers it so. Returns how long that took, and what changed.
+    /// Waits for the next probe and answers it. Returns the waiting time and the resulting
+    /// transition.
     fn probe(&mut self, outcome: ServerOutcome) -> (Duration, Option<AvoidanceChange>) {
-        let began = self.now;
+        let start = self.now;
         while self.standing() != Standing::Probed {
             self.now += Duration::from_millis(10);
             assert_eq!(self.advance(), None);
@@ -128,43 +129,47 @@
         self.avoidances[1].note_sent(self.now);
         assert_eq!(self.standing(), Standing::Avoided, "one probe at a time");
         self.counts.note(outcome, self.now);
-        (self.now - began, self.advance())
+        (self.now - start, self.advance())
     }
 }
 
 #[test]
-fn a_server_is_avoided_for_longer_each_time_up_to_a_bound() {
-    let mut watched = Watched::failed();
+fn backoff_grows_up_to_maximum() {
+    let mut avoided = AvoidedServer::failed();
     for expected in [500, 1_000, 1_000] {
-        let (waited, change) = watched.probe(ServerOutcome::Failed);
-        let least = Duration::from_millis(expected);
-        assert!(waited >= least && waited < least + Duration::from_millis(150));
+        let (waited, change) = avoided.probe(ServerOutcome::Failed);
+        let min_wait = Duration::from_millis(expected);
+        assert!(waited >= min_wait && waited < min_wait + Duration::from_millis(150));
         assert_eq!(change, Some(AvoidanceChange::Prolonged));
     }
 }
 
 #[test]
-fn a_sound_server_is_trusted_after_four_probes() {
-    let mut watched = Watched::failed();
+fn healthy_server_is_restored_after_four_probes() {
+    let mut avoided = AvoidedServer::failed();
     for expected in [None, None, None, Some(AvoidanceChange::Ended)] {
-        assert_eq!(watched.probe(ServerOutcome::Answered).1, expected);
+        assert_eq!(avoided.probe(ServerOutcome::Answered).1, expected);
     }
-    assert_eq!(watched.standing(), Standing::Trusted);
-    assert_eq!(watched.advance(), None, "the old failures count again");
+    assert_eq!(avoided.standing(), Standing::Trusted);
+    assert_eq!(
+        avoided.advance(),
+        None,
+        "failures from before the probes must be ignored"
+    );
 }
 
-/// A service with a call a second gathers no four answers within the time that counts.
+/// With one call per second, the decayed successes never reach four.
 #[test]
-fn a_service_with_few_calls_trusts_a_sound_server_after_fewer_probes() {
-    let mut watched = Watched::failed();
+fn service_with_few_calls_restores_server_after_fewer_probes() {
+    let mut avoided = AvoidedServer::failed();
     let mut change = None;
     for _ in 0..4 {
-        watched.now += Duration::from_secs(1);
-        change = watched.advance();
+        avoided.now += Duration::from_secs(1);
+        change = avoided.advance();
         if change.is_some() {
             break;
         }
-        change = watched.probe(ServerOutcome::Answered).1;
+        change = avoided.probe(ServerOutcome::Answered).1;
         if change.is_some() {
             break;
         }
@@ -173,17 +178,17 @@
 }
 
 #[test]
-fn no_probe_is_made_while_another_gateway_has_a_call_there() {
-    let mut watched = Watched::failed();
-    watched.probe(ServerOutcome::Answered);
-    watched.now += Duration::from_secs(1);
+fn no_probe_while_another_gateway_has_a_call_in_flight() {
+    let mut avoided = AvoidedServer::failed();
+    avoided.probe(ServerOutcome::Answered);
+    avoided.now += Duration::from_secs(1);
     let busy = ProbeTurn { calls: 1, ..TURN };
-    let standing = watched.avoidances[1].standing(busy, watched.now);
+    let standing = avoided.avoidances[1].standing(busy, avoided.now);
     assert_eq!(standing, Standing::Avoided);
 }
 
 #[test]
-fn all_are_trusted_once_most_fail() {
+fn all_servers_are_restored_once_most_fail() {
     let mut avoidances = [Avoidance::default(); 3];
     let fail = |avoidances: &mut [Avoidance; 3], failed: [f64; 3], now| {
         let mut service: Vec<(&mut Avoidance, OutcomeCounts)> = avoidances
@@ -199,18 +204,19 @@
     assert!(avoidances.iter().all(|avoidance| !avoidance.is_on()));
 }
 
-/// A stream that began before the server failed may go on for long.
+/// Long streams from before the failure may outlast the backoff.
 #[test]
-fn calls_that_began_before_keep_no_probe_away() {
-    let mut watched = Watched::failed();
+fn calls_from_before_backoff_do_not_block_probes() {
+    let mut avoided = AvoidedServer::failed();
     let with_calls = |calls| ProbeTurn { calls, ..TURN };
-    watched.avoidances[1].note_calls(2);
-    watched.now += Duration::from_millis(600);
-    watched.advance();
-    let standing =
-        |watched: &Watched, calls| watched.avoidances[1].standing(with_calls(calls), watched.now);
-    assert_eq!(standing(&watched, 2), Standing::Probed);
-    assert_eq!(standing(&watched, 3), Standing::Avoided);
-    watched.avoidances[1].note_calls(1);
-    assert_eq!(standing(&watched, 2), Standing::Avoided);
+    avoided.avoidances[1].note_calls(2);
+    avoided.now += Duration::from_millis(600);
+    avoided.advance();
+    let standing = |avoided: &AvoidedServer, calls| {
+        avoided.avoidances[1].standing(with_calls(calls), avoided.now)
+    };
+    assert_eq!(standing(&avoided, 2), Standing::Probed);
+    assert_eq!(standing(&avoided, 3), Standing::Avoided);
+    avoided.avoidances[1].note_calls(1);
+    assert_eq!(standing(&avoided, 2), Standing::Avoided);
 }
