--- a/crates/courseshed-registry/src/freshness.rs
+++ b/crates/courseshed-registry/src/freshness.rs
@@ -1,70 +1,74 @@
-//! How new the state of a controller that doesn't lead is. Pure.
+//! Freshness of a follower's applied state. Performs no I/O.
 //!
-//! Invariant: a state that is current as of a moment holds all that the leader had told to be committed
-//! up to then. Having heard the leader says nothing of that: its heartbeats go on while it still sends a
-//! replica what that missed behind a cut or on a slow link.
+//! Invariant: a state that is current as of some time includes everything the leader had announced
+//! as committed by then. Heartbeats alone do not prove freshness, since they continue while the
+//! leader is still sending missing entries to a lagging follower.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use courseshed_consensus::LogIndex;
 
-/// Commits that are remembered while they aren't applied. A leader tells its commit some 10 to 100 times a
-/// second; of more than this the newest are dropped, which only makes a state look older than it is.
-const REMEMBERED_COMMITS: usize = 256;
+/// Maximum number of unapplied commits to track. Further ones are dropped, which only makes the
+/// state appear older than it is.
+const MAX_PENDING_COMMITS: usize = 256;
 
-/// A commit index that the leader told, and when.
+/// A commit index announced by the leader, with the time of the announcement.
 #[derive(Clone, Copy, Debug)]
-struct CommitTold {
+struct AnnouncedCommit {
     at: Duration,
     commit: LogIndex,
 }
 
-/// What a replica was told to be committed, against what it has applied.
+/// Tracks announced commit indexes against the applied index.
 #[derive(Clone, Debug, Default)]
 pub struct CommitFreshness {
-    /// Commits that were told and aren't applied, oldest first; none is below the one before.
-    open: VecDeque<CommitTold>,
+    /// Announced commits that are not applied yet, in ascending order.
+    pending: VecDeque<AnnouncedCommit>,
     applied: LogIndex,
     current_as_of: Option<Duration>,
 }
 
 impl CommitFreshness {
-    /// Notes that the leader told its commit index at a time.
+    /// Registers a commit index announced by the leader.
     ///
-    /// What an earlier leader told stays committed, also while a new one hasn't learned of it yet.
+    /// A new leader may announce a lower index than its predecessor; the higher one remains
+    /// committed.
     pub fn note_committed(&mut self, at: Duration, commit: LogIndex) {
         let commit = self.lacked().map_or(commit, |lacked| lacked.max(commit));
         if commit <= self.applied {
             self.current_as_of = Some(at);
-        } else if self.open.len() < REMEMBERED_COMMITS {
-            self.open.push_back(CommitTold { at, commit });
+        } else if self.pending.len() < MAX_PENDING_COMMITS {
+            self.pending.push_back(AnnouncedCommit { at, commit });
         }
     }
 
-    /// Notes up to where the log is applied.
+    /// Registers the index up to which the log is applied.
     pub fn note_applied(&mut self, applied: LogIndex) {
         self.applied = applied;
-        while let Some(told) = self.open.pop_front_if(|told| told.commit <= applied) {
-            self.current_as_of = self.current_as_of.max(Some(told.at));
+        while let Some(announced) = self
+            .pending
+            .pop_front_if(|announced| announced.commit <= applied)
+        {
+            self.current_as_of = self.current_as_of.max(Some(announced.at));
         }
     }
 
-    /// The last moment up to which all that was told to be committed is applied; none before the first.
+    /// The latest time as of which all announced commits are applied; `None` before the first.
     #[must_use]
     pub fn current_as_of(&self) -> Option<Duration> {
         self.current_as_of
     }
 
-    /// How many commits are remembered while they aren't applied.
+    /// Number of tracked commits that are not applied yet.
     #[must_use]
     pub fn remembered(&self) -> usize {
-        self.open.len()
+        self.pending.len()
     }
 
-    /// The newest commit index that was told and isn't applied.
+    /// The newest announced commit index that is not applied yet.
     #[must_use]
     pub fn lacked(&self) -> Option<LogIndex> {
-        self.open.back().map(|told| told.commit)
+        self.pending.back().map(|announced| announced.commit)
     }
 }
--- a/crates/courseshed-registry/src/load.rs
+++ b/crates/courseshed-registry/src/load.rs
@@ -1,14 +1,14 @@
-//! How many calls gateways have at servers, and what became of those before, shared among them. Pure:
-//! times are passed in.
+//! Aggregation of load and outcome reports of gateways. The caller passes times in.
 //!
-//! Each gateway reports its own calls to the controller that it follows, which sums them up and
-//! tells the other controllers. The sums are soft knowledge: they lag behind, and a gateway that
-//! falls silent is forgotten. With many servers reports come less often, so that they take no more
-//! of a link than [`BYTES_PER_SECOND`], and count for longer.
+//! Each gateway reports its calls to the controller it follows, which sums them up and forwards the
+//! sum to the other controllers. Sums are approximate: they lag behind, and reports of unresponsive
+//! gateways expire. The report interval and lifetime grow with the number of servers to stay within
+//! [`REPORT_BYTES_PER_SECOND`].
 //!
-//! What became of calls is told as totals that fade (see [`OutcomeCounts`]), so that the newest report
-//! says all. Answered calls are told of all servers: a share of failures that lacks the answers of those
-//! gateways that saw no failure is far too large. Failures are told only of servers that have some.
+//! Outcomes are decaying totals (see [`OutcomeCounts`]), so the newest report is complete by
+//! itself. Successes are reported for all servers, since a failure rate would be overestimated
+//! without the successes of gateways that saw no failure. Failures are only reported for servers
+//! that have any.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -18,46 +18,46 @@
 
 use crate::outcomes::OutcomeCounts;
 
-/// What reports may take of a node's link.
-const BYTES_PER_SECOND: f64 = 8_000.0;
-/// About what a report takes without, and for, each server.
-const BYTES_OF_REPORT: f64 = 100.0;
-const BYTES_OF_SERVER: f64 = 10.0;
-/// How long a report counts after it came: at least so long, and for so many pauses.
-const LEAST_LIFE: Duration = Duration::from_secs(1);
-const LIFE_IN_PAUSES: u32 = 3;
-/// Answered calls are told in eighths: small numbers take one byte, and what a gateway with few calls at
-/// many servers has there isn't lost in rounding.
-const ANSWERED_UNITS: f64 = 8.0;
-/// Failed calls are told in 64ths: a single one must be told from what is rounded at many gateways.
-const FAILED_UNITS: f64 = 64.0;
-
-/// The pause after reports that named so many servers in all, at least `least`.
+/// Bandwidth budget for reports per node.
+const REPORT_BYTES_PER_SECOND: f64 = 8_000.0;
+/// Approximate encoded size of a report without its entries, and of each entry.
+const REPORT_OVERHEAD_BYTES: f64 = 100.0;
+const BYTES_PER_SERVER: f64 = 10.0;
+/// Lifetime of a report: a minimum, and a number of report intervals.
+const MIN_REPORT_LIFETIME: Duration = Duration::from_secs(1);
+const REPORT_LIFETIME_INTERVALS: u32 = 3;
+/// Fixed-point scale of answered calls. Small counts are encoded in one byte, with enough precision
+/// for gateways with few calls to many servers.
+const ANSWERED_SCALE: f64 = 8.0;
+/// Fixed-point scale of failed calls, fine enough to distinguish one failure from rounding errors.
+const FAILED_SCALE: f64 = 64.0;
+
+/// The interval after `reports` reports with `servers` entries in total, at least `min_interval`.
 #[must_use]
-pub fn pause_after_reports(reports: usize, servers: usize, least: Duration) -> Duration {
-    let bytes = BYTES_OF_REPORT * reports as f64 + BYTES_OF_SERVER * servers as f64;
-    least.max(Duration::from_secs_f64(bytes / BYTES_PER_SECOND))
+pub fn pause_after_reports(reports: usize, servers: usize, min_interval: Duration) -> Duration {
+    let bytes = REPORT_OVERHEAD_BYTES * reports as f64 + BYTES_PER_SERVER * servers as f64;
+    min_interval.max(Duration::from_secs_f64(bytes / REPORT_BYTES_PER_SECOND))
 }
 
-/// The calls at one server. Written without the names of its fields: there are many.
+/// Load of one server. Encoded as a tuple to save space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ServerKey, u32, u32)", into = "(ServerKey, u32, u32)")]
 pub struct ServerLoad {
     /// The server.
     pub server: ServerKey,
-    /// Calls sent there that are not over.
+    /// Calls in flight.
     pub in_flight: u32,
-    /// What is left of the calls that were answered, in eighths.
+    /// Decayed number of answered calls, in eighths.
     pub answered_eighths: u32,
 }
 
-/// The calls that failed at one server. Written without the names of its fields, too.
+/// Failed calls of one server. Encoded as a tuple to save space.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(ServerKey, u32)", into = "(ServerKey, u32)")]
 pub struct ServerFailures {
     /// The server.
     pub server: ServerKey,
-    /// What is left of the calls that failed, in 64ths.
+    /// Decayed number of failed calls, in 64ths.
     pub failed_64ths: u32,
 }
 
@@ -92,21 +92,21 @@
     }
 }
 
-/// The calls of some gateways at all servers. Servers without calls are left out.
+/// Load of all servers as seen by some gateways. Servers without calls are omitted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// How many gateways it speaks for.
+    /// Number of gateways included.
     pub gateways: u32,
-    /// How long it counts after it came, in milliseconds.
+    /// Lifetime of the report after receipt in milliseconds.
     pub counts_for_ms: u64,
-    /// Their calls.
+    /// Load by server.
     pub servers: Vec<ServerLoad>,
-    /// Their failed calls.
+    /// Failed calls by server.
     pub failures: Vec<ServerFailures>,
 }
 
 impl LoadReport {
-    /// The report of calls at servers, and of what became of those before.
+    /// Builds a report from the calls in flight and outcomes of servers.
     #[must_use]
     pub fn of(
         gateways: u32,
@@ -117,8 +117,8 @@
             ..Self::default()
         };
         for (server, in_flight, counts) in calls {
-            let answered_eighths = (counts.answered * ANSWERED_UNITS).round() as u32;
-            let failed_64ths = (counts.failed * FAILED_UNITS).round() as u32;
+            let answered_eighths = (counts.answered * ANSWERED_SCALE).round() as u32;
+            let failed_64ths = (counts.failed * FAILED_SCALE).round() as u32;
             if in_flight > 0 || answered_eighths > 0 {
                 report.servers.push(ServerLoad {
                     server,
@@ -136,99 +136,103 @@
         report
     }
 
-    /// Calls under way, and what became of those before, by server.
+    /// Calls in flight and outcomes by server.
     #[must_use]
     pub fn by_server(&self) -> BTreeMap<ServerKey, (u32, OutcomeCounts)> {
         let mut calls: BTreeMap<ServerKey, (u32, OutcomeCounts)> = BTreeMap::new();
         for load in &self.servers {
             let entry = calls.entry(load.server).or_default();
             entry.0 += load.in_flight;
-            entry.1.answered += f64::from(load.answered_eighths) / ANSWERED_UNITS;
+            entry.1.answered += f64::from(load.answered_eighths) / ANSWERED_SCALE;
         }
         for failures in &self.failures {
             let entry = calls.entry(failures.server).or_default();
-            entry.1.failed += f64::from(failures.failed_64ths) / FAILED_UNITS;
+            entry.1.failed += f64::from(failures.failed_64ths) / FAILED_SCALE;
         }
         calls
     }
 
-    /// How many lines of servers it has.
+    /// Number of entries in the report.
     #[must_use]
     pub fn lines(&self) -> usize {
         self.servers.len() + self.failures.len()
     }
 
-    /// The same report, to be followed by the next one after a pause.
+    /// The report with a lifetime that suits the interval until the next one.
     #[must_use]
-    pub fn until_next(self, pause: Duration) -> Self {
-        let life = LEAST_LIFE.max(pause * LIFE_IN_PAUSES);
+    pub fn until_next(self, interval: Duration) -> Self {
+        let lifetime = MIN_REPORT_LIFETIME.max(interval * REPORT_LIFETIME_INTERVALS);
         Self {
-            counts_for_ms: life.as_millis() as u64,
+            counts_for_ms: lifetime.as_millis() as u64,
             ..self
         }
     }
 }
 
 #[derive(Clone, Debug)]
-struct Received {
+struct ReceivedReport {
     at: Duration,
     report: LoadReport,
 }
 
-/// The newest reports, of gateways and of other controllers.
+/// The newest reports of gateways and of other controllers.
 #[derive(Clone, Debug, Default)]
 pub struct LoadBoard {
-    gateways: BTreeMap<NodeId, Received>,
-    controllers: BTreeMap<NodeId, Received>,
+    gateways: BTreeMap<NodeId, ReceivedReport>,
+    controllers: BTreeMap<NodeId, ReceivedReport>,
 }
 
 impl LoadBoard {
-    /// Takes in what a gateway has at servers.
+    /// Stores the report of a gateway.
     pub fn note_gateway(&mut self, now: Duration, gateway: NodeId, report: LoadReport) {
-        let received = Received { at: now, report };
+        let received = ReceivedReport { at: now, report };
         self.gateways.insert(gateway, received);
     }
 
-    /// Takes in the sum of another controller.
+    /// Stores the sum reported by another controller.
     pub fn note_controller(&mut self, now: Duration, controller: NodeId, report: LoadReport) {
-        let received = Received { at: now, report };
+        let received = ReceivedReport { at: now, report };
         self.controllers.insert(controller, received);
     }
 
-    /// The calls of the gateways that report here.
+    /// Sum of the reports of the gateways that follow this controller.
     #[must_use]
     pub fn own_gateways(&self, now: Duration) -> LoadReport {
-        sum_up(self.gateways.values(), now)
+        sum_valid_reports(self.gateways.values(), now)
     }
 
-    /// The calls of all gateways but one.
+    /// Sum of all reports except that of one gateway.
     #[must_use]
     pub fn all_but(&self, now: Duration, gateway: NodeId) -> LoadReport {
         let own = self.gateways.iter().filter(|(node, _)| **node != gateway);
         let own = own.map(|(_, received)| received);
-        sum_up(own.chain(self.controllers.values()), now)
+        sum_valid_reports(own.chain(self.controllers.values()), now)
     }
 
-    /// Forgets reports that count no more.
+    /// Removes expired reports.
     pub fn forget_old(&mut self, now: Duration) {
-        self.gateways.retain(|_, received| received.counts_at(now));
+        self.gateways
+            .retain(|_, received| received.is_valid_at(now));
         self.controllers
-            .retain(|_, received| received.counts_at(now));
+            .retain(|_, received| received.is_valid_at(now));
     }
 }
 
-impl Received {
-    fn counts_at(&self, now: Duration) -> bool {
-        let life = Duration::from_millis(self.report.counts_for_ms);
-        now.saturating_sub(self.at) < life
+impl ReceivedReport {
+    fn is_valid_at(&self, now: Duration) -> bool {
+        let lifetime = Duration::from_millis(self.report.counts_for_ms);
+        now.saturating_sub(self.at) < lifetime
     }
 }
 
-/// The sum of the reports that count. What became of calls fades from when a report came.
-fn sum_up<'a>(received: impl Iterator<Item = &'a Received>, now: Duration) -> LoadReport {
+/// Sum of the unexpired reports. Outcomes decay from the receipt of their report.
+fn sum_valid_reports<'a>(
+    received: impl Iterator<Item = &'a ReceivedReport>,
+    now: Duration,
+) -> LoadReport {
     let mut gateways = 0;
     let mut sums: BTreeMap<ServerKey, (u32, OutcomeCounts)> = BTreeMap::new();
-    for received in received.filter(|received| received.counts_at(now)) {
+    for received in received.filter(|received| received.is_valid_at(now)) {
         gateways += received.report.gateways;
         let age = now.saturating_sub(received.at);
         for (server, (in_flight, counts)) in received.report.by_server() {
--- a/crates/courseshed-registry/src/proof.rs
+++ b/crates/courseshed-registry/src/proof.rs
@@ -1,76 +1,78 @@
-//! Proof that a routing table is the newest, handed from the controllers' leader to gateways. Pure.
+//! Proofs that a routing table version is current, issued by the controllers' leader to followers.
 //!
-//! Invariant: a proof of some age tells that, so long ago, no newer version had been acknowledged to
-//! anyone. Each side counts from when it sent its own question, on its own clock, so delays and
-//! freezes only ever make a proof older, and no two clocks are compared.
+//! Invariant: a proof of a given age shows that no newer version was acknowledged to anyone up to
+//! that long ago. Each side measures from the time it sent its own request on its own clock.
+//! Delays and pauses therefore only make proofs older, and clocks are never compared.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Added to a follower's clock, which starts with its process: proofs may be older than that.
-const BEFORE_START: Duration = Duration::from_secs(3600);
+/// Offset of a follower's clock, which starts at 0 with its process: a proof may predate the
+/// process.
+const CLOCK_OFFSET: Duration = Duration::from_secs(3600);
 
-/// What a controller answers: until when a version was surely the newest that was acknowledged.
+/// Reply of a controller: until when a version was the newest acknowledged one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoutingProof {
-    /// The version; none before the first.
+    /// The version; `None` before the first.
     pub version: Option<u64>,
-    /// How long before the question arrived, in milliseconds, rounded up.
+    /// Age of the confirmation when the request arrived, in milliseconds, rounded up.
     pub before_question_ms: u64,
 }
 
-/// A moment, on the clock of whoever keeps it, at which a version was the newest.
+/// A version confirmed as the newest at a time of the local clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-struct NewestAt {
+struct ConfirmedVersion {
     at: Duration,
     version: Option<u64>,
 }
 
-/// What a controller has had confirmed by the leader, or under its own lease.
+/// Confirmations that a controller received from the leader, or issued under its own lease.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Confirmations {
-    newest: Option<NewestAt>,
+    newest: Option<ConfirmedVersion>,
 }
 
 impl Confirmations {
-    /// Notes that a version was the newest at a time or later: that of the question which a quorum or
-    /// the leader's lease stands behind, not that of its answer.
+    /// Registers that a version was the newest at `at` or later. `at` must be the time of the
+    /// request that was confirmed by a quorum or the leader's lease, not that of the reply.
     pub fn note(&mut self, at: Duration, version: Option<u64>) {
         if self.newest.is_none_or(|newest| newest.at < at) {
-            self.newest = Some(NewestAt { at, version });
+            self.newest = Some(ConfirmedVersion { at, version });
         }
     }
 
-    /// The proof for a question that arrived at a time, if the state held is as new as was confirmed.
+    /// The proof for a request that arrived at a time, if the local state is at least as new as
+    /// confirmed.
     #[must_use]
-    pub fn proof(&self, held: Option<u64>, arrived: Duration) -> Option<RoutingProof> {
+    pub fn proof(&self, local_version: Option<u64>, arrived: Duration) -> Option<RoutingProof> {
         let newest = self.newest?;
-        let before_question = arrived.saturating_sub(newest.at);
-        (held >= newest.version).then(|| RoutingProof {
-            version: held,
-            before_question_ms: before_question.as_micros().div_ceil(1000) as u64,
+        let age_at_request = arrived.saturating_sub(newest.at);
+        (local_version >= newest.version).then(|| RoutingProof {
+            version: local_version,
+            before_question_ms: age_at_request.as_micros().div_ceil(1000) as u64,
         })
     }
 }
 
-/// The newest proof that a follower was given.
+/// The newest proof received by a follower.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct ProofKeeper {
-    proven: Option<NewestAt>,
+    proven: Option<ConfirmedVersion>,
 }
 
 impl ProofKeeper {
-    /// Takes in a proof that came with the answer to a question asked at a time; whether it is newer
-    /// than the one before.
+    /// Registers a proof received in reply to a request sent at `asked_at`. Returns whether it is
+    /// newer than the previous one.
     pub fn note(&mut self, asked_at: Duration, proof: &RoutingProof) -> bool {
-        let before_question = Duration::from_millis(proof.before_question_ms);
-        let Some(at) = (asked_at + BEFORE_START).checked_sub(before_question) else {
+        let age_at_request = Duration::from_millis(proof.before_question_ms);
+        let Some(at) = (asked_at + CLOCK_OFFSET).checked_sub(age_at_request) else {
             return false;
         };
         let is_newer = self.proven.is_none_or(|proven| proven.at < at);
         if is_newer {
-            self.proven = Some(NewestAt {
+            self.proven = Some(ConfirmedVersion {
                 at,
                 version: proof.version,
             });
@@ -78,10 +80,10 @@
         is_newer
     }
 
-    /// How long ago the version held was proven to be the newest; none if it never was.
+    /// Time since the local version was proven to be the newest; `None` if it was not.
     #[must_use]
-    pub fn age(&self, now: Duration, held: Option<u64>) -> Option<Duration> {
+    pub fn age(&self, now: Duration, local_version: Option<u64>) -> Option<Duration> {
         let proven = self.proven?;
-        (held >= proven.version).then(|| (now + BEFORE_START).saturating_sub(proven.at))
+        (local_version >= proven.version).then(|| (now + CLOCK_OFFSET).saturating_sub(proven.at))
     }
 }
--- a/crates/courseshed-registry/tests/freshness.rs
+++ b/crates/courseshed-registry/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How new a replica's state is, by what it was told and what it has applied.
+//! Freshness of a replica from announced and applied commits.
 
 use std::time::Duration;
 
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn a_replica_that_has_applied_all_is_current_as_of_each_word_of_the_leader() {
+fn fully_applied_replica_is_current_as_of_each_announcement() {
     let mut freshness = CommitFreshness::default();
     assert_eq!(freshness.current_as_of(), None);
     freshness.note_applied(LogIndex(7));
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn heartbeats_do_not_make_a_replica_current_that_lacks_what_is_committed() {
+fn heartbeats_do_not_make_a_lagging_replica_current() {
     let mut freshness = CommitFreshness::default();
     freshness.note_applied(LogIndex(7));
     freshness.note_committed(ms(100), LogIndex(7));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_replica_that_catches_up_slowly_is_as_old_as_what_it_has_applied() {
+fn lagging_replica_is_as_old_as_its_applied_index() {
     let mut freshness = CommitFreshness::default();
     for step in 1..=5 {
         freshness.note_committed(ms(100 * step), LogIndex(step));
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_long_wait_remembers_a_bounded_number_of_words_and_never_looks_newer() {
+fn pending_commits_are_bounded_and_freshness_is_not_overstated() {
     let mut freshness = CommitFreshness::default();
     for step in 1..=100_000 {
         freshness.note_committed(ms(step), LogIndex(1_000_000));
@@ -63,9 +63,9 @@
     assert_eq!(freshness.current_as_of(), Some(ms(100_001)));
 }
 
-/// A new leader knows less of what is committed for a moment than the one before it had told.
+/// A new leader may announce a lower commit index than its predecessor until it has caught up.
 #[test]
-fn a_new_leader_that_tells_less_makes_no_replica_current_that_lacks_what_was_told_before() {
+fn lower_commit_of_new_leader_does_not_make_a_lagging_replica_current() {
     let mut freshness = CommitFreshness::default();
     freshness.note_applied(LogIndex(7));
     freshness.note_committed(ms(100), LogIndex(7));
--- a/crates/courseshed-registry/tests/load.rs
+++ b/crates/courseshed-registry/tests/load.rs
@@ -1,4 +1,4 @@
-//! What gateways learn of each other's calls.
+//! Aggregation and expiry of load reports.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_gateway_is_told_of_all_the_others() {
+fn gateway_receives_load_of_all_others() {
     let mut board = LoadBoard::default();
     board.note_gateway(NOW, NodeId(1), report(&[("a", 3)]));
     board.note_gateway(NOW, NodeId(2), report(&[("a", 4), ("b", 1)]));
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_controller_tells_only_of_the_gateways_that_report_to_it() {
+fn controller_reports_only_its_own_gateways() {
     let mut board = LoadBoard::default();
     board.note_gateway(NOW, NodeId(1), report(&[("a", 3)]));
     board.note_controller(NOW, NodeId(9), report(&[("a", 5)]));
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn a_newer_report_replaces_the_one_before() {
+fn newer_report_replaces_previous_one() {
     let mut board = LoadBoard::default();
     board.note_gateway(NOW, NodeId(1), report(&[("a", 3), ("b", 2)]));
     board.note_gateway(NOW, NodeId(1), report(&[("a", 1)]));
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn a_gateway_that_falls_silent_is_forgotten() {
+fn report_of_silent_gateway_expires() {
     let mut board = LoadBoard::default();
     board.note_gateway(NOW, NodeId(1), report(&[("a", 3)]));
     let later = NOW + Duration::from_millis(1100);
@@ -71,18 +71,18 @@
     assert_eq!(board.own_gateways(NOW), LoadReport::default());
 }
 
-/// At the size to design for a report names 1,500 servers and may come only each 1.5 s.
+/// Reports on 1,500 servers must stay within the bandwidth budget.
 #[test]
-fn reports_of_many_servers_come_less_often_and_count_for_longer() {
-    let least = Duration::from_millis(80);
-    assert_eq!(pause_after_reports(2, 18, least), least);
-    let pause = pause_after_reports(2, 1_500, least);
+fn report_interval_and_lifetime_grow_with_servers() {
+    let min_interval = Duration::from_millis(80);
+    assert_eq!(pause_after_reports(2, 18, min_interval), min_interval);
+    let interval = pause_after_reports(2, 1_500, min_interval);
     let bytes = 2.0 * 100.0 + 1_500.0 * 10.0;
-    assert!(bytes / pause.as_secs_f64() <= 8_001.0);
+    assert!(bytes / interval.as_secs_f64() <= 8_001.0);
     let mut board = LoadBoard::default();
-    board.note_gateway(NOW, NodeId(1), report(&[("a", 3)]).until_next(pause));
-    assert_eq!(calls_at(&board.own_gateways(NOW + 2 * pause), "a"), 3);
-    assert_eq!(calls_at(&board.own_gateways(NOW + 4 * pause), "a"), 0);
+    board.note_gateway(NOW, NodeId(1), report(&[("a", 3)]).until_next(interval));
+    assert_eq!(calls_at(&board.own_gateways(NOW + 2 * interval), "a"), 3);
+    assert_eq!(calls_at(&board.own_gateways(NOW + 4 * interval), "a"), 0);
 }
 
 fn outcomes(answered: f64, failed: f64) -> LoadReport {
@@ -100,9 +100,9 @@
         .1
 }
 
-/// Reports may be lost or come twice: each holds all that counts.
+/// A report replaces the previous one, so lost and duplicate reports are harmless.
 #[test]
-fn outcomes_are_summed_up_from_the_newest_reports_and_fade() {
+fn outcomes_are_summed_from_newest_reports_and_decay() {
     let mut board = LoadBoard::default();
     board.note_gateway(NOW, NodeId(1), outcomes(8.0, 0.0));
     board.note_gateway(NOW, NodeId(1), outcomes(8.0, 0.0));
@@ -116,16 +116,16 @@
 }
 
 #[test]
-fn failures_are_told_only_of_servers_that_have_some() {
+fn only_servers_with_failures_report_failures() {
     assert_eq!(outcomes(8.0, 0.0).lines(), 1);
     assert_eq!(outcomes(8.0, 1.0).lines(), 2);
     assert_eq!(outcomes(0.0, 1.0).lines(), 1);
     assert_eq!(outcomes(0.01, 0.001).lines(), 0);
 }
 
-/// The calls of many gateways at many servers, as a controller sums them up, and failures at a few.
+/// The report of a controller for many gateways and servers, with failures of a few servers.
 #[test]
-fn a_report_takes_no_more_bytes_than_its_pause_allows_for() {
+fn report_size_stays_within_bandwidth_estimate() {
     let counts = |failed| OutcomeCounts {
         answered: 900.0,
         failed,
