--- a/crates/courseshed-registry/src/command.rs
+++ b/crates/courseshed-registry/src/command.rs
@@ -1,4 +1,4 @@
-//! What enters the controllers' log, and what comes of it.
+//! Commands in the controllers' log and their results.
 
 use bytes::Bytes;
 use courseshed_quota::OwnerBounds;
@@ -9,70 +9,70 @@
 
 use crate::Registration;
 
-/// One entry of the controllers' log.
+/// A command in the controllers' log.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub enum Command {
-    /// An operator replaces the routing table.
+    /// Replaces the routing table.
     ReplaceRouting {
-        /// The table with its version.
+        /// The versioned table.
         table: VersionedTable,
-        /// What the operator sent, to be read back as it was.
+        /// The document submitted by the operator, returned unchanged on reads.
         document: Bytes,
     },
-    /// A server is new, or says something new.
+    /// Registers a server or updates its registration.
     Announce(Registration),
-    /// A server leaves.
+    /// Deregisters a server.
     Leave {
-        /// The id of a life, or the name of a server, of which the newest life is meant.
+        /// Id of a server incarnation, or name of a server, which selects its newest incarnation.
         server: String,
     },
-    /// Servers were silent for too long.
+    /// Removes servers whose heartbeats timed out.
     Expire {
-        /// Their ids.
+        /// Ids of the servers.
         servers: Vec<String>,
     },
-    /// A machine with a disk for records started.
+    /// Registers a machine with a disk for records.
     RegisterStore {
-        /// The machine.
+        /// Node id of the machine.
         node: NodeId,
-        /// What it says of itself.
+        /// Properties of the machine.
         store: StoreMachine,
     },
-    /// The replicas of some partitions of the records change. A change whose epoch isn't the next
-    /// one of its partition is passed over.
+    /// Changes the replicas of partitions. A change whose epoch is not the next one of its
+    /// partition is ignored.
     ChangeRecordViews(Vec<ViewChange>),
-    /// A machine with records is to be emptied.
+    /// Decommissions a store.
     Retire {
-        /// Its name.
+        /// Name of the machine.
         name: String,
-        /// Replicas that must remain.
+        /// Minimum number of stores that must remain.
         needed: usize,
     },
-    /// A machine holds nothing any more that would be missed.
+    /// Marks a store as decommissioned once it hosts no needed replica.
     CompleteRetirement {
-        /// The machine.
+        /// Node id of the machine.
         node: NodeId,
     },
-    /// An operator wants a zone's servers to get nothing more, or takes the zone back.
+    /// Starts or ends the evacuation of a zone.
     Evacuate {
         /// The zone.
         zone: String,
-        /// Whether they get nothing more from now on.
+        /// Whether servers in the zone receive no further calls.
         is_evacuated: bool,
     },
-    /// What the owner of tenants' permits is bound by changes.
+    /// Changes the quota bounds that the owner of tenants' permits must observe.
     BoundQuotas(OwnerBounds),
 }
 
-/// What came of a command.
+/// Result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Outcome {
-    /// It is in force, or was already.
+    /// The command is in effect, possibly already before.
     Done,
-    /// No machine of that name is known.
+    /// There is no machine with that name.
     UnknownMachine,
-    /// Too few machines would remain.
+    /// Too few stores would remain.
     TooFew,
-    /// These bounds of the owner of permits are in force.
+    /// The given quota bounds are in effect.
     QuotasBound(OwnerBounds),
 }
--- a/crates/courseshed-registry/src/lib.rs
+++ b/crates/courseshed-registry/src/lib.rs
@@ -1,14 +1,15 @@
-//! What controllers agree on for gateways: the routing table in force, the servers that announced
-//! themselves, and which machines hold the records of programs.
+//! State that controllers replicate and provide to gateways: the routing table, the registered
+//! servers, and the stores that hold the records of programs.
 //!
-//! [`FleetState`] is a deterministic state machine in the controllers' replicated log. Ordinary
-//! heartbeats don't enter the log; a new server, a server that leaves, and a change of any fact do.
-//! [`Liveness`] is the leader's soft knowledge of who was heard lately. The crate does no I/O.
+//! [`FleetState`] is a deterministic state machine driven by the controllers' replicated log.
+//! Heartbeats without changes are not logged; registrations, deregistrations and changes are.
+//! [`Liveness`] is the leader's volatile record of heartbeats. This crate performs no I/O.
 //!
 //! Invariants:
-//! - The version of the routing table in force never falls.
-//! - A server that drains or left never becomes ready again under the same id.
-//! - An older announcement of a server never replaces a newer one, and an ended life never a later one.
+//! - The version of the active routing table never decreases.
+//! - A draining or deregistered server never becomes ready again under the same id.
+//! - An older registration never replaces a newer one, and an ended incarnation of a server never
+//!   replaces a later one.
 
 mod avoidance;
 mod command;
@@ -29,5 +30,5 @@
 pub use outcomes::{FadingCounts, OutcomeCounts, ServerOutcome, failing_servers};
 pub use proof::{Confirmations, ProofKeeper, RoutingProof};
 pub use server::{Registration, Server, ServerState};
-pub use server_list::{ListChange, ServerChanges, ServerList, ServersKnown};
+pub use server_list::{ListChange, ServerChanges, ServerList, ServerListRevision};
 pub use state::{EvacuatedZones, FleetState, FleetUpdate, Known, Retirement, RoutingInForce};
--- a/crates/courseshed-registry/src/liveness.rs
+++ b/crates/courseshed-registry/src/liveness.rs
@@ -1,4 +1,4 @@
-//! The leader's soft knowledge of who was heard lately. Pure: times are passed in.
+//! The leader's volatile record of heartbeats. The caller passes times in.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -6,112 +6,111 @@
 
 use courseshed_types::NodeId;
 
-use crate::{FleetState, ServerChanges, ServersKnown};
+use crate::{FleetState, ServerChanges, ServerListRevision};
 
-/// How long silence is borne.
+/// Heartbeat timeouts.
 #[derive(Clone, Copy, Debug)]
 pub struct LivenessSettings {
-    /// A server that says nothing for so long is dropped until it is heard again.
+    /// Timeout after which a server is removed until its next heartbeat.
     pub server_silence: Duration,
-    /// A machine that says nothing for so long may be replaced by another one.
+    /// Timeout after which a store may be replaced.
     pub node_silence: Duration,
 }
 
-/// Who was heard when. A new leader counts from its election.
+/// Times of the last heartbeats, counted from the election of the leader.
 ///
-/// Servers are ordered by when they were heard, so that finding the silent ones takes as long as there are any:
-/// the leader looks several times a second.
+/// Servers are indexed by time, so that finding the expired ones does not scan all servers.
 #[derive(Clone, Debug)]
 pub struct Liveness {
     settings: LivenessSettings,
-    since: Duration,
+    elected_at: Duration,
     servers: BTreeMap<Arc<str>, Duration>,
-    servers_by_time: BTreeSet<(Duration, Arc<str>)>,
-    /// What was observed of the list of servers.
-    observed: ServersKnown,
+    servers_by_last_heard: BTreeSet<(Duration, Arc<str>)>,
+    /// Revision of the server list up to which changes were applied.
+    seen_revision: ServerListRevision,
     nodes: BTreeMap<NodeId, Duration>,
 }
 
 impl Liveness {
-    /// Starts at an election.
+    /// Starts at the election of the leader.
     #[must_use]
     pub fn new(settings: LivenessSettings, now: Duration) -> Self {
         Self {
             settings,
-            since: now,
+            elected_at: now,
             servers: BTreeMap::new(),
-            servers_by_time: BTreeSet::new(),
-            observed: ServersKnown::default(),
+            servers_by_last_heard: BTreeSet::new(),
+            seen_revision: ServerListRevision::default(),
             nodes: BTreeMap::new(),
         }
     }
 
-    /// Takes in who is there. Whoever is seen for the first time counts as heard: a server or machine
-    /// that has just announced itself may have done so to another controller.
+    /// Synchronizes the tracked servers and stores with the replicated state. New ones count as
+    /// heard now, since they may have registered with another controller.
     pub fn observe(&mut self, now: Duration, state: &FleetState) {
-        while let Some(changes) = state.server_changes_since(self.observed) {
-            self.observed = changes.known;
-            self.take_in(now, changes);
+        while let Some(changes) = state.server_changes_since(self.seen_revision) {
+            self.seen_revision = changes.known;
+            self.apply_changes(now, changes);
         }
         for node in state.stores().keys() {
             self.nodes.entry(*node).or_insert(now);
         }
     }
 
-    fn take_in(&mut self, now: Duration, changes: ServerChanges) {
+    fn apply_changes(&mut self, now: Duration, changes: ServerChanges) {
         if changes.is_whole {
             let listed: BTreeSet<&str> = changes.changed.iter().map(|server| &*server.id).collect();
             self.servers.retain(|id, _| listed.contains(&**id));
-            self.servers_by_time
+            self.servers_by_last_heard
                 .retain(|(_, id)| listed.contains(&**id));
         }
         for id in changes.removed {
             if let Some((id, heard)) = self.servers.remove_entry(&*id) {
-                self.servers_by_time.remove(&(heard, id));
+                self.servers_by_last_heard.remove(&(heard, id));
             }
         }
         for server in changes.changed {
             if !self.servers.contains_key(&*server.id) {
                 let id: Arc<str> = server.id.as_str().into();
                 self.servers.insert(id.clone(), now);
-                self.servers_by_time.insert((now, id));
+                self.servers_by_last_heard.insert((now, id));
             }
         }
     }
 
-    /// Notes that servers were heard; those that aren't listed are passed over.
+    /// Registers heartbeats of servers. Unknown servers are ignored.
     pub fn heard_servers(&mut self, now: Duration, ids: impl IntoIterator<Item = String>) {
         for id in ids {
             if let Some((id, heard)) = self.servers.remove_entry(&*id) {
-                self.servers_by_time.remove(&(heard, id.clone()));
-                self.servers_by_time.insert((now, id.clone()));
+                self.servers_by_last_heard.remove(&(heard, id.clone()));
+                self.servers_by_last_heard.insert((now, id.clone()));
                 self.servers.insert(id, now);
             }
         }
     }
 
-    /// Notes that a machine was heard.
+    /// Registers a heartbeat of a node.
     pub fn heard_node(&mut self, now: Duration, node: NodeId) {
         self.nodes.insert(node, now);
     }
 
-    /// Servers that were silent for too long, of those observed.
+    /// Known servers whose heartbeats timed out.
     #[must_use]
     pub fn silent_servers(&self, now: Duration) -> Vec<String> {
-        let silence = self.settings.server_silence;
-        let oldest_first = self.servers_by_time.iter();
-        let silent = oldest_first.take_while(|(heard, _)| now.saturating_sub(*heard) > silence);
+        let timeout = self.settings.server_silence;
+        let oldest_first = self.servers_by_last_heard.iter();
+        let silent = oldest_first.take_while(|(heard, _)| now.saturating_sub(*heard) > timeout);
         silent.map(|(_, id)| id.to_string()).collect()
     }
 
-    /// Whether a machine was silent for so long that another may take its place.
+    /// Whether the heartbeats of a node timed out, so that it may be replaced.
     #[must_use]
     pub fn is_silent(&self, now: Duration, node: NodeId) -> bool {
-        let heard = self.nodes.get(&node).copied().unwrap_or(self.since);
+        let heard = self.nodes.get(&node).copied().unwrap_or(self.elected_at);
         now.saturating_sub(heard) > self.settings.node_silence
     }
 
-    /// The machines with records that were silent for so long.
+    /// Stores whose heartbeats timed out.
     #[must_use]
     pub fn silent_stores(&self, now: Duration, state: &FleetState) -> BTreeSet<NodeId> {
         let stores = state.stores().keys().copied();
--- a/crates/courseshed-registry/src/server.rs
+++ b/crates/courseshed-registry/src/server.rs
@@ -1,55 +1,57 @@
-//! Servers, as they announce themselves.
+//! Server registrations.
 
 use std::net::SocketAddr;
 
 use serde::{Deserialize, Serialize};
 
-/// Whether a server takes new work.
+/// Whether a server accepts new calls.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ServerState {
-    /// It does.
+    /// Accepts new calls.
     Ready,
-    /// It finishes what it has.
+    /// Only completes the calls it has.
     Draining,
 }
 
-/// A server in one of its lives.
+/// One incarnation of a server. A restarted server is a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Names this life of the server, see [`Server::life_id`].
+    /// Id of the incarnation, see [`Server::life_id`].
     pub id: String,
-    /// What the server calls itself, alike in all its lives; empty where that is the id.
+    /// Name of the server, shared by its incarnations; empty if equal to the id.
     #[serde(default)]
     pub name: String,
-    /// When this life began, in Unix milliseconds of the server's clock; none if it doesn't say.
+    /// Start time in Unix milliseconds of the server's clock; `None` if not reported.
     #[serde(default)]
     pub born_ms: Option<u64>,
     /// The service it belongs to.
     pub service: String,
-    /// Where it listens.
+    /// Listen address.
     pub address: SocketAddr,
-    /// Where it stands.
+    /// Zone of the server.
     pub zone: String,
-    /// Calls it runs at once.
+    /// Maximum number of concurrent calls.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new calls.
     pub state: ServerState,
-    /// How much longer it bears little, as it said when it began to; 0 once it bears all, in milliseconds.
+    /// Remaining warm-up time reported at its start, in milliseconds; 0 once warmed up.
     #[serde(default)]
     pub cold_ms: u32,
 }
 
 impl Server {
-    /// The id of a life: the name alone if the server doesn't say when it began.
+    /// Id of an incarnation; the name alone if the start time is unknown.
     ///
-    /// Nothing that is known of one life holds for the next, so lives are told apart by their ids
-    /// wherever something is noted of a server.
+    /// State must be keyed by this id, since nothing known of one incarnation applies to the next.
     #[must_use]
     pub fn life_id(name: &str, born_ms: Option<u64>) -> String {
-        born_ms.map_or_else(|| name.to_owned(), |born| format!("{name}{LIFE}{born}"))
+        born_ms.map_or_else(
+            || name.to_owned(),
+            |born| format!("{name}{INCARNATION_SEPARATOR}{born}"),
+        )
     }
 
-    /// What the server calls itself.
+    /// Name of the server.
     #[must_use]
     pub fn name(&self) -> &str {
         if self.name.is_empty() {
@@ -59,37 +61,38 @@
         }
     }
 
-    /// Whether a later announcement of the same life says nothing new. How long a server stays cold is no
-    /// news while it gets less; for a service that bears all from its start it never is.
+    /// Whether a later registration of the same incarnation contains no relevant change. A
+    /// decreasing warm-up time is no change, nor is any warm-up time of a service without warm-up
+    /// limits.
     #[must_use]
-    pub fn is_repeated_by(&self, later: &Self, is_cold_news: bool) -> bool {
-        let is_as_cold =
+    pub fn is_unchanged_in(&self, later: &Self, warmup_matters: bool) -> bool {
+        let is_warming_as_before =
             (self.cold_ms == 0) == (later.cold_ms == 0) && later.cold_ms <= self.cold_ms;
-        let same_otherwise = Self {
+        let with_previous_warmup = Self {
             cold_ms: self.cold_ms,
             ..later.clone()
         };
-        *self == same_otherwise && (is_as_cold || !is_cold_news)
+        *self == with_previous_warmup && (is_warming_as_before || !warmup_matters)
     }
 }
 
-/// What follows a server's name in the id of a life.
-const LIFE: char = '/';
+/// Separates the name and the start time in the id of an incarnation.
+const INCARNATION_SEPARATOR: char = '/';
 
-/// Whether an id is of a life of a server that began after another one.
-pub(crate) fn is_later_life(id: &str, name: &str, born_ms: u64) -> bool {
+/// Whether an id belongs to an incarnation of a server that started after a given time.
+pub(crate) fn is_later_incarnation(id: &str, name: &str, born_ms: u64) -> bool {
     let later = id
         .strip_prefix(name)
-        .and_then(|rest| rest.strip_prefix(LIFE));
+        .and_then(|rest| rest.strip_prefix(INCARNATION_SEPARATOR));
     let born = later.and_then(|born| born.parse::<u64>().ok());
     born.is_some_and(|born| born > born_ms)
 }
 
-/// One announcement of a server.
+/// A registration of a server.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Registration {
     /// The server.
     pub server: Server,
-    /// Rises with each announcement of this life.
+    /// Increases with each registration of the incarnation.
     pub sequence: u64,
 }
--- a/crates/courseshed-registry/src/server_list.rs
+++ b/crates/courseshed-registry/src/server_list.rs
@@ -1,7 +1,7 @@
-//! The servers that announced themselves, and what of them changed since a follower was told.
+//! The registered servers, and incremental updates of them for followers.
 //!
-//! Invariant: a follower that takes in the changes since its revision has the same servers as the
-//! list that gave them.
+//! Invariant: a follower that applies the changes since its revision has the same servers as the
+//! source list.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddr;
@@ -13,22 +13,21 @@
 
 use crate::{Registration, Server};
 
-/// Removals that are remembered for followers. Who lacks more than these is told the whole list:
-/// 4,096 are more than an hour of a fleet whose 3,000 servers are all replaced once.
-const REMEMBERED_REMOVALS: usize = 4096;
+/// Number of removals to retain for incremental updates. A follower that lacks older ones receives
+/// the full list.
+const MAX_RETAINED_REMOVALS: usize = 4096;
 
-/// Changes that are told at a time: some 32 KB. Followers of a controller that start together take one such message
-/// each of its memory and of its link, on which an answer must arrive while it is waited for: with whole lists
-/// of 10,000 servers it was 1.6 MB for each of 87.
-const MOST_CHANGES: usize = 200;
+/// Maximum number of changed servers per update. Bounds the memory and the link usage of a
+/// controller while many followers synchronize at once.
+const MAX_CHANGES_PER_UPDATE: usize = 200;
 
-/// A server with its newest announcement.
+/// A server with its newest registration.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Announced {
+pub(crate) struct AnnouncedServer {
     pub server: Arc<Server>,
-    /// Sequence of the announcement.
+    /// Sequence number of the registration.
     pub sequence: u64,
-    /// Revision of the list at which the server changed last.
+    /// Revision of the list at which the server last changed.
     revision: u64,
 }
 
@@ -38,34 +37,32 @@
     server: String,
 }
 
-/// The servers, as the controllers agree on them. Each change makes a higher revision.
+/// The replicated server list. Each change increments the revision.
 ///
-/// All maps share what didn't change with their copies, and are indexed by what is looked for. So a copy for
-/// those who read costs the same at any number of servers, and an announcement or an update of a follower costs
-/// what changed: with 10,000 servers that start together, walks over all of them were 100 million comparisons
-/// for the announcements, and as many for each 10,000 updates.
+/// The maps are persistent and indexed by every lookup key: a copy takes constant time, and a
+/// registration or an update costs in proportion to what changed rather than to the list size.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "StoredServers", into = "StoredServers")]
 pub(crate) struct AnnouncedServers {
     revision: u64,
-    by_id: OrdMap<String, Announced>,
-    /// Ids of removed servers by the revision of the removal.
+    by_id: OrdMap<String, AnnouncedServer>,
+    /// Ids of removed servers by the revision of their removal.
     removals: OrdMap<u64, String>,
-    /// Removals up to this revision may have been forgotten.
+    /// Removals up to this revision may have been pruned.
     forgotten: u64,
-    /// Ids by where servers listen.
+    /// Ids by listen address.
     by_address: OrdMap<SocketAddr, String>,
-    /// Ids of the newest lives by the names of servers.
+    /// Ids of the newest incarnations by server name.
     by_name: OrdMap<String, String>,
-    /// Ids by the revision at which the server changed last.
+    /// Ids by the revision of the last change.
     by_revision: OrdMap<u64, String>,
 }
 
-/// What is stored of [`AnnouncedServers`]; the rest follows from it.
+/// Persisted part of [`AnnouncedServers`]. The other fields are derived.
 #[derive(Serialize, Deserialize)]
 struct StoredServers {
     revision: u64,
-    by_id: BTreeMap<String, Announced>,
+    by_id: BTreeMap<String, AnnouncedServer>,
     removals: VecDeque<Removal>,
     forgotten: u64,
 }
@@ -82,7 +79,7 @@
             ..Self::default()
         };
         for (id, announced) in stored.by_id {
-            servers.put(id, announced);
+            servers.add_to_indexes(id, announced);
         }
         servers
     }
@@ -103,7 +100,7 @@
 }
 
 impl AnnouncedServers {
-    pub(crate) fn get(&self, id: &str) -> Option<&Announced> {
+    pub(crate) fn get(&self, id: &str) -> Option<&AnnouncedServer> {
         self.by_id.get(id)
     }
 
@@ -114,16 +111,16 @@
     pub(crate) fn insert(&mut self, registration: Registration) {
         self.revision += 1;
         let id = registration.server.id.clone();
-        self.take_out(&id);
-        let announced = Announced {
+        self.remove_from_indexes(&id);
+        let announced = AnnouncedServer {
             server: Arc::new(registration.server),
             sequence: registration.sequence,
             revision: self.revision,
         };
-        self.put(id, announced);
+        self.add_to_indexes(id, announced);
     }
 
-    fn put(&mut self, id: String, announced: Announced) {
+    fn add_to_indexes(&mut self, id: String, announced: AnnouncedServer) {
         let server = &announced.server;
         self.by_address.insert(server.address, id.clone());
         self.by_name.insert(server.name().to_owned(), id.clone());
@@ -131,8 +128,8 @@
         self.by_id.insert(id, announced);
     }
 
-    /// Takes a server out of all indexes.
-    fn take_out(&mut self, id: &str) -> Option<Announced> {
+    /// Removes a server from all indexes.
+    fn remove_from_indexes(&mut self, id: &str) -> Option<AnnouncedServer> {
         let announced = self.by_id.remove(id)?;
         self.by_revision.remove(&announced.revision);
         let server = &announced.server;
@@ -153,25 +150,25 @@
         Some(announced)
     }
 
-    /// The server that listens at an address.
-    pub(crate) fn at(&self, address: SocketAddr) -> Option<&Server> {
+    /// The server with an address.
+    pub(crate) fn server_at(&self, address: SocketAddr) -> Option<&Server> {
         let id = self.by_address.get(&address)?;
         self.by_id.get(id).map(|announced| &*announced.server)
     }
 
-    /// The newest life of the server of a name.
-    pub(crate) fn newest_life(&self, name: &str) -> Option<&Server> {
+    /// The newest incarnation of a server.
+    pub(crate) fn newest_incarnation(&self, name: &str) -> Option<&Server> {
         let id = self.by_name.get(name)?;
         self.by_id.get(id).map(|announced| &*announced.server)
     }
 
     pub(crate) fn remove(&mut self, id: &str) {
-        if self.take_out(id).is_none() {
+        if self.remove_from_indexes(id).is_none() {
             return;
         }
         self.revision += 1;
         self.removals.insert(self.revision, id.to_owned());
-        if self.removals.len() > REMEMBERED_REMOVALS
+        if self.removals.len() > MAX_RETAINED_REMOVALS
             && let Some((oldest, _)) = self.removals.get_min().cloned()
         {
             self.removals.remove(&oldest);
@@ -179,14 +176,15 @@
         }
     }
 
-    /// What a follower lacks that knows so much, at most [`MOST_CHANGES`] servers of it; none if it lacks nothing.
-    pub(crate) fn changes_since(&self, known: ServersKnown) -> Option<ServerChanges> {
+    /// Changes that a follower lacks, at most [`MAX_CHANGES_PER_UPDATE`] servers; `None` if up to
+    /// date.
+    pub(crate) fn changes_since(&self, known: ServerListRevision) -> Option<ServerChanges> {
         if self.revision <= known.changes && self.revision <= known.removals {
             return None;
         }
         let is_whole = known.changes == 0 || known.removals < self.forgotten;
         let known = if is_whole {
-            ServersKnown {
+            ServerListRevision {
                 changes: 0,
                 removals: self.revision,
             }
@@ -194,19 +192,19 @@
             known
         };
         let mut newer = self.by_revision.range(known.changes.saturating_add(1)..);
-        let told: Vec<(&u64, &String)> = newer.by_ref().take(MOST_CHANGES).collect();
-        let last = told
+        let sent: Vec<(&u64, &String)> = newer.by_ref().take(MAX_CHANGES_PER_UPDATE).collect();
+        let last = sent
             .last()
             .map_or(self.revision, |(revision, _)| **revision);
         let has_more = newer.next().is_some();
-        let ids = told.into_iter().map(|(_, id)| id);
+        let ids = sent.into_iter().map(|(_, id)| id);
         let changed = ids.filter_map(|id| self.by_id.get(id));
         let removed = self.removals.range(known.removals.saturating_add(1)..);
         Some(ServerChanges {
             is_whole,
             changed: changed.map(|announced| announced.server.clone()).collect(),
             removed: removed.map(|(_, id)| id.clone()).collect(),
-            known: ServersKnown {
+            known: ServerListRevision {
                 changes: if has_more { last } else { self.revision },
                 removals: self.revision,
             },
@@ -214,68 +212,68 @@
         })
     }
 
-    /// What a follower knows that was told all.
-    pub(crate) fn known(&self) -> ServersKnown {
-        ServersKnown {
+    /// Revision of an up-to-date follower.
+    pub(crate) fn known(&self) -> ServerListRevision {
+        ServerListRevision {
             changes: self.revision,
             removals: self.revision,
         }
     }
 }
 
-/// How much of the servers a follower knows.
+/// Revision of the server list that a follower has.
 ///
-/// Changes are told in the order of their revisions, a bounded number at a time; removals all at once. A server
-/// that was told and is removed before the rest is told is among the removals since.
+/// Changes are sent in order of their revisions in batches of limited size, removals all at once. A
+/// server that is removed after it was sent is included in the later removals.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct ServersKnown {
-    /// Revision up to which changes were told; 0 before the first.
+pub struct ServerListRevision {
+    /// Revision up to which changes were sent; 0 initially.
     pub changes: u64,
-    /// Revision up to which removals were told.
+    /// Revision up to which removals were sent.
     pub removals: u64,
 }
 
-/// What changed of the servers.
+/// Changes of the server list.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChanges {
-    /// Whether a server that isn't named is gone.
+    /// Whether the follower must discard all servers that are not included.
     pub is_whole: bool,
-    /// Servers that are new or changed.
+    /// Added or changed servers.
     pub changed: Vec<Arc<Server>>,
-    /// Ids of servers that are gone; one that came back since is among the changed, now or later.
+    /// Ids of removed servers. A server that was added again is in this or a later `changed`.
     pub removed: Vec<String>,
-    /// What the follower knows once it has taken them in.
+    /// Revision of the follower after applying the changes.
     #[serde(default)]
-    pub known: ServersKnown,
-    /// Whether there are more.
+    pub known: ServerListRevision,
+    /// Whether more changes follow.
     #[serde(default)]
     pub has_more: bool,
 }
 
-/// The servers, as a follower knows them. A copy shares what didn't change.
+/// A follower's copy of the server list. Clones share unchanged entries.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ServerList {
     by_id: OrdMap<String, Arc<Server>>,
 }
 
-/// What became of one server between two lists.
+/// A difference between two server lists.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
-    /// It is new.
+    /// The server was added.
     Listed(Arc<Server>),
-    /// It says something new.
+    /// The registration of the server changed.
     Changed {
-        /// What was listed.
+        /// The previous registration.
         before: Arc<Server>,
-        /// What is listed now.
+        /// The current registration.
         now: Arc<Server>,
     },
-    /// It is gone.
+    /// The server was removed.
     Gone(Arc<Server>),
 }
 
 impl ServerList {
-    /// Takes changes in.
+    /// Applies changes.
     pub fn apply(&mut self, changes: ServerChanges) {
         if changes.is_whole {
             self.by_id.clear();
@@ -288,13 +286,13 @@
         }
     }
 
-    /// What changed from an earlier list to this one. Takes as long as what changed is large, if this list was
-    /// made from a copy of the earlier one.
+    /// Differences from an earlier list to this one. Takes time in proportion to the differences if
+    /// this list was derived from a clone of the earlier one.
     #[must_use]
     pub fn changes_from(&self, before: &Self) -> Vec<ListChange> {
         let differences = before.by_id.diff(&self.by_id);
         differences
-            .map(|difference| match difference {
+            .map(|item| match item {
                 DiffItem::Add(_, server) => ListChange::Listed(server.clone()),
                 DiffItem::Update { old, new } => ListChange::Changed {
                     before: old.1.clone(),
@@ -305,24 +303,24 @@
             .collect()
     }
 
-    /// The server of an id.
+    /// The server with an id.
     #[must_use]
     pub fn get(&self, id: &str) -> Option<&Arc<Server>> {
         self.by_id.get(id)
     }
 
-    /// The servers by id.
+    /// The servers in order of their ids.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Server>> {
         self.by_id.values()
     }
 
-    /// How many there are.
+    /// Number of servers.
     #[must_use]
     pub fn len(&self) -> usize {
         self.by_id.len()
     }
 
-    /// Whether there are none.
+    /// Whether there are no servers.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_id.is_empty()
--- a/crates/courseshed-registry/src/state.rs
+++ b/crates/courseshed-registry/src/state.rs
@@ -1,4 +1,4 @@
-//! The replicated state and how commands change it.
+//! The replicated state and the effects of commands.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -13,42 +13,43 @@
 use imbl::Vector;
 use serde::{Deserialize, Serialize};
 
-use crate::server::is_later_life;
+use crate::server::is_later_incarnation;
 use crate::server_list::AnnouncedServers;
-use crate::{Command, Outcome, Registration, Server, ServerChanges, ServerState, ServersKnown};
+use crate::{
+    Command, Outcome, Registration, Server, ServerChanges, ServerListRevision, ServerState,
+};
 
-/// Servers that left are remembered, so that a late announcement doesn't bring them back.
-const REMEMBERED_DEPARTURES: usize = 4096;
+/// Number of departed or expired server ids to retain, so that late registrations are ignored.
+const MAX_RETAINED_IDS: usize = 4096;
 
-/// Ceilings beyond which those of tenants that are gone are forgotten: several times the tenants that
-/// one fleet is meant for.
-const REMEMBERED_CEILINGS: usize = 4096;
+/// Number of quota ceilings above which those of deleted tenants are dropped.
+const MAX_RETAINED_CEILINGS: usize = 4096;
 
-/// The routing table in force, and what the operator sent.
+/// The active routing table with its source document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RoutingInForce {
     /// The table.
     pub table: Arc<VersionedTable>,
-    /// What the operator sent.
+    /// The document submitted by the operator.
     pub document: Bytes,
 }
 
-/// How far the emptying of a machine is.
+/// Progress of a decommissioning.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Retirement {
-    /// It still counts, or another is still catching up.
+    /// The store still hosts needed replicas.
     Running,
-    /// It may be taken away.
+    /// The store may be shut down.
     Completed,
 }
 
-/// What all controllers agree on.
+/// The replicated state of the controllers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
     routing: Option<RoutingInForce>,
     servers: AnnouncedServers,
     departed: Vector<String>,
-    /// Servers that fell silent: they may come back, unless another took their address meanwhile.
+    /// Servers whose heartbeats timed out. They may return unless another server has their address.
     #[serde(default)]
     expired: Vector<String>,
     stores: BTreeMap<NodeId, StoreMachine>,
@@ -56,7 +57,7 @@
     retirements: BTreeMap<NodeId, Retirement>,
     #[serde(default)]
     evacuated: EvacuatedZones,
-    /// The most permits of each tenant that may be out.
+    /// Maximum number of permits issued per tenant.
     #[serde(default)]
     quota_ceilings: BTreeMap<String, u32>,
     /// Gateways that may hold permits.
@@ -64,23 +65,23 @@
     quota_holders: BTreeSet<NodeId>,
 }
 
-/// What a follower of the state has already.
+/// Revisions of the state that a follower has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Known {
-    /// Version of the routing table; none before the first.
+    /// Version of the routing table; `None` initially.
     pub routing: Option<u64>,
-    /// Whether it takes a routing table in parts; earlier builds want it whole.
+    /// Whether the follower accepts the routing table in parts. Older versions require a full one.
     #[serde(default)]
     pub takes_parts: bool,
-    /// The parts of a later version that it has taken.
+    /// The parts received of a newer routing table.
     #[serde(default)]
     pub parts: Option<PartsTaken>,
-    /// Revision up to which changes of the servers were told, see [`ServersKnown`].
+    /// Revision up to which changes of servers were sent, see [`ServerListRevision`].
     pub servers: u64,
-    /// Revision up to which removals of servers were told.
+    /// Revision up to which removals of servers were sent.
     #[serde(default)]
     pub removals: u64,
-    /// Revision of the partitions of the records.
+    /// Revision of the partition map.
     pub records: u64,
     /// Revision of the evacuated zones.
     #[serde(default)]
@@ -88,7 +89,7 @@
 }
 
 impl Known {
-    /// What lacks nothing: whoever asks with it is told only how much there is.
+    /// Revisions that are newer than any state: an update for them contains revisions only.
     pub const EVERYTHING: Self = Self {
         routing: Some(u64::MAX),
         takes_parts: true,
@@ -99,53 +100,52 @@
         evacuated: u64::MAX,
     };
 
-    /// What is known of the servers.
+    /// Revision of the server list.
     #[must_use]
-    pub fn server_list(&self) -> ServersKnown {
-        ServersKnown {
+    pub fn server_list(&self) -> ServerListRevision {
+        ServerListRevision {
             changes: self.servers,
             removals: self.removals,
         }
     }
 
-    /// Whether there is anything to be known.
+    /// Whether the follower has received anything yet.
     #[must_use]
     pub fn is_any(&self) -> bool {
         self.routing.is_some() || self.servers > 0
     }
 }
 
-/// What a follower of the state lacks.
+/// The changes that a follower lacks.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetUpdate {
-    /// What the follower has after taking the update in.
+    /// Revisions of the follower after applying the update.
     pub known: Known,
-    /// A newer routing table, whole, for who takes no parts.
+    /// A newer routing table, for followers that do not accept parts.
     pub routing: Option<Arc<VersionedTable>>,
     /// A part of a newer routing table.
     #[serde(default)]
     pub table_part: Option<TablePart>,
-    /// What changed of the servers, if anything did.
+    /// Changes of the servers, if any.
     pub servers: Option<ServerChanges>,
-    /// The views of partitions of the records that changed.
+    /// Changed views of partitions.
     pub record_views: Vec<ViewChange>,
-    /// The zones whose servers get nothing, if they changed.
+    /// The evacuated zones, if changed.
     #[serde(default)]
     pub evacuated: Option<EvacuatedZones>,
 }
 
-/// Zones whose servers get nothing more.
+/// Zones whose servers receive no calls.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvacuatedZones {
-    /// Grows with each change.
+    /// Incremented by each change.
     pub revision: u64,
     /// The zones.
     pub zones: BTreeSet<String>,
 }
 
 impl FleetUpdate {
-    /// Whether it tells of servers alone, so that more such news may be gathered for a moment before it is told:
-    /// a routing table, an emptied zone and the replicas of records are told at once.
+    /// Whether the update may be delayed and batched, which applies to changes of servers only.
     #[must_use]
     pub fn can_wait(&self) -> bool {
         self.servers.is_some()
@@ -156,14 +156,14 @@
             && self.evacuated.is_none()
     }
 
-    /// Whether more is to be told at once.
+    /// Whether more changes are available immediately.
     #[must_use]
     pub fn has_more(&self) -> bool {
         let servers = self.servers.as_ref();
         servers.is_some_and(|servers| servers.has_more)
     }
 
-    /// Whether there is nothing new.
+    /// Whether the update contains no changes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.routing.is_none()
@@ -175,30 +175,30 @@
 }
 
 impl FleetState {
-    /// The routing table in force.
+    /// The active routing table.
     #[must_use]
     pub fn routing(&self) -> Option<&RoutingInForce> {
         self.routing.as_ref()
     }
 
-    /// What a follower of the servers lacks that knows so much, or a part of it; none if it lacks nothing.
+    /// A batch of server changes that a follower lacks; `None` if it is up to date.
     #[must_use]
-    pub fn server_changes_since(&self, known: ServersKnown) -> Option<ServerChanges> {
+    pub fn server_changes_since(&self, known: ServerListRevision) -> Option<ServerChanges> {
         self.servers.changes_since(known)
     }
 
-    /// The servers.
+    /// The registered servers.
     pub fn servers(&self) -> impl Iterator<Item = &Server> {
         self.servers.iter()
     }
 
-    /// The views of the records in force.
+    /// The current views of all partitions.
     #[must_use]
     pub fn records(&self) -> &PartitionMap {
         &self.records
     }
 
-    /// What the owner of tenants' permits is bound by.
+    /// The quota bounds that the owner of tenants' permits must observe.
     #[must_use]
     pub fn quota_bounds(&self) -> OwnerBounds {
         let ceilings = self.quota_ceilings.iter();
@@ -214,115 +214,115 @@
         }
     }
 
-    /// Machines with disks for records.
+    /// Registered machines with disks for records.
     #[must_use]
     pub fn stores(&self) -> &BTreeMap<NodeId, StoreMachine> {
         &self.stores
     }
 
-    /// Machines that are being emptied or were.
+    /// Stores that are being or have been decommissioned, with their progress.
     pub fn retirements(&self) -> impl Iterator<Item = (NodeId, Retirement)> + '_ {
         self.retirements.iter().map(|(node, state)| (*node, *state))
     }
 
-    /// Machines that are to be emptied or were.
+    /// Stores that are being or have been decommissioned.
     #[must_use]
     pub fn retiring(&self) -> BTreeSet<NodeId> {
         self.retirements.keys().copied().collect()
     }
 
-    /// How far the emptying of the machine of a name is.
+    /// Progress of the decommissioning of a store.
     #[must_use]
     pub fn retirement(&self, name: &str) -> Option<Retirement> {
         let node = self.store_named(name)?;
         self.retirements.get(&node).copied()
     }
 
-    /// Whether an announcement says nothing that is not in the state already.
+    /// Whether a registration would not change the state.
     #[must_use]
     pub fn is_ordinary(&self, registration: &Registration) -> bool {
         let id = &registration.server.id;
         match self.servers.get(id) {
             Some(known) => {
                 let later = &registration.server;
-                let is_cold_news = self.bounds_cold_servers(&later.service);
+                let warmup_matters = self.limits_cold_servers(&later.service);
                 registration.sequence <= known.sequence
-                    || known.server.is_repeated_by(later, is_cold_news)
+                    || known.server.is_unchanged_in(later, warmup_matters)
             }
             None => {
                 self.departed.contains(id)
-                    || self.was_followed(&registration.server)
-                    || self.has_later_life(&registration.server)
-                    || self.is_unused_at_taken_address(&registration.server)
+                    || self.was_replaced(&registration.server)
+                    || self.has_later_incarnation(&registration.server)
+                    || self.is_unrouted_at_used_address(&registration.server)
             }
         }
     }
 
-    /// Whether the servers of a service bear little while they are cold.
-    fn bounds_cold_servers(&self, service: &str) -> bool {
+    /// Whether the service limits calls to servers that are warming up.
+    fn limits_cold_servers(&self, service: &str) -> bool {
         let table = self.routing.as_ref().map(|routing| &routing.table.table);
         let service = table.and_then(|table| table.service(service));
         service.is_some_and(Service::bounds_cold_servers)
     }
 
-    /// Whether a later life of the server is or was known: this one has ended.
-    fn has_later_life(&self, server: &Server) -> bool {
+    /// Whether a later incarnation of the server is or was known, so that this one has ended.
+    fn has_later_incarnation(&self, server: &Server) -> bool {
         let Some(born) = server.born_ms else {
             return false;
         };
-        let listed = self.servers.newest_life(server.name());
-        let is_later = |id: &String| is_later_life(id, server.name(), born);
-        listed.is_some_and(|life| life.born_ms > Some(born))
+        let listed = self.servers.newest_incarnation(server.name());
+        let is_later = |id: &String| is_later_incarnation(id, server.name(), born);
+        listed.is_some_and(|incarnation| incarnation.born_ms > Some(born))
             || self.departed.iter().any(is_later)
             || self.expired.iter().any(is_later)
     }
 
-    /// Whether a server of a service that no route uses says that it is where another one is. Whoever writes
-    /// such entries must not end the life of a server that is used.
-    fn is_unused_at_taken_address(&self, server: &Server) -> bool {
+    /// Whether a server of a service without routes claims the address of another server. Such an
+    /// entry must not remove a server that is in use.
+    fn is_unrouted_at_used_address(&self, server: &Server) -> bool {
         let Some(routing) = &self.routing else {
             return false;
         };
         let is_known = routing.table.table.service(&server.service).is_some();
-        !is_known && self.holder_of(server.address).is_some()
+        !is_known && self.server_at(server.address).is_some()
     }
 
-    /// Whether a server that fell silent has lost its address to another one since: its next life.
-    fn was_followed(&self, server: &Server) -> bool {
-        self.expired.contains(&server.id) && self.holder_of(server.address).is_some()
+    /// Whether an expired server has lost its address to another server, its next incarnation.
+    fn was_replaced(&self, server: &Server) -> bool {
+        self.expired.contains(&server.id) && self.server_at(server.address).is_some()
     }
 
-    fn holder_of(&self, address: SocketAddr) -> Option<&Server> {
-        self.servers.at(address)
+    fn server_at(&self, address: SocketAddr) -> Option<&Server> {
+        self.servers.server_at(address)
     }
 
-    /// The zones whose servers get nothing.
+    /// Zones whose servers receive no calls.
     #[must_use]
     pub fn evacuated(&self) -> &EvacuatedZones {
         &self.evacuated
     }
 
-    /// What a follower lacks; a routing table is told whole, unless the follower takes parts of it, which
-    /// [`courseshed_routing::RecentTables`] tells.
+    /// The changes that a follower lacks. Includes a full routing table unless the follower accepts
+    /// parts, which [`courseshed_routing::RecentTables`] provides.
     #[must_use]
     pub fn update_for(&self, known: Known) -> FleetUpdate {
         let routing = self.routing.as_ref().map(|routing| &routing.table);
-        let lacks = |table: &&Arc<VersionedTable>| known.routing < Some(table.version);
-        let whole = routing.filter(lacks).filter(|_| !known.takes_parts);
+        let is_newer = |table: &&Arc<VersionedTable>| known.routing < Some(table.version);
+        let full_table = routing.filter(is_newer).filter(|_| !known.takes_parts);
         let servers = self.servers.changes_since(known.server_list());
-        let told = servers.as_ref().map(|changes| changes.known);
-        let told = told.unwrap_or_else(|| self.servers.known());
+        let sent = servers.as_ref().map(|changes| changes.known);
+        let sent = sent.unwrap_or_else(|| self.servers.known());
         FleetUpdate {
             known: Known {
                 routing: routing.map(|table| table.version),
                 takes_parts: known.takes_parts,
                 parts: known.parts,
-                servers: told.changes,
-                removals: told.removals,
+                servers: sent.changes,
+                removals: sent.removals,
                 records: self.records.revision(),
                 evacuated: self.evacuated.revision,
             },
-            routing: whole.cloned(),
+            routing: full_table.cloned(),
             table_part: None,
             servers,
             record_views: self.records.changes_since(known.records),
@@ -352,7 +352,7 @@
             Command::CompleteRetirement { node } => self.complete_retirement(node),
             Command::Evacuate { zone, is_evacuated } => self.evacuate(zone, is_evacuated),
             Command::BoundQuotas(bounds) => {
-                self.bound_quotas(&bounds);
+                self.apply_quota_bounds(&bounds);
                 return Outcome::QuotasBound(bounds);
             }
         }
@@ -369,8 +369,8 @@
         }
     }
 
-    /// Ceilings of tenants that are gone are kept for a while: their permits may still be out.
-    fn bound_quotas(&mut self, bounds: &OwnerBounds) {
+    /// Retains ceilings of deleted tenants for a while, since their permits may still be in use.
+    fn apply_quota_bounds(&mut self, bounds: &OwnerBounds) {
         self.quota_holders.extend(&bounds.holders);
         for node in &bounds.former_holders {
             self.quota_holders.remove(node);
@@ -379,7 +379,7 @@
             self.quota_ceilings
                 .insert(ceiling.tenant.clone(), ceiling.permits);
         }
-        if self.quota_ceilings.len() > REMEMBERED_CEILINGS {
+        if self.quota_ceilings.len() > MAX_RETAINED_CEILINGS {
             let table = self.routing.as_ref().map(|routing| routing.table.clone());
             let is_known = |name: &str| {
                 let table = table.as_ref();
@@ -401,24 +401,27 @@
         let id = &registration.server.id;
         if self.servers.get(id).is_none() {
             self.expired.retain(|expired| expired != id);
-            // Whoever is listed at the address is an earlier life of the server, which has ended. Should
-            // it be the later one, it comes back once this one has expired.
-            let at_address = self.holder_of(registration.server.address);
-            let of_name = self.servers.newest_life(registration.server.name());
+            // The server listed at this address or with this name is an earlier incarnation that
+            // has ended. If it is the later one, it is registered again once this one has expired.
+            let at_address = self.server_at(registration.server.address);
+            let of_name = self.servers.newest_incarnation(registration.server.name());
             let earlier = at_address.into_iter().chain(of_name);
             let earlier: Vec<String> = earlier.map(|earlier| earlier.id.clone()).collect();
-            for life in earlier {
-                self.expire(life);
+            for incarnation in earlier {
+                self.expire(incarnation);
             }
         }
         self.servers.insert(registration);
     }
 
     fn depart(&mut self, server: &str) {
-        let newest = self.servers.newest_life(server).map(|life| life.id.clone());
-        let life = newest.as_deref().unwrap_or(server);
-        self.servers.remove(life);
-        remember(&mut self.departed, life);
+        let newest = self
+            .servers
+            .newest_incarnation(server)
+            .map(|incarnation| incarnation.id.clone());
+        let incarnation = newest.as_deref().unwrap_or(server);
+        self.servers.remove(incarnation);
+        push_bounded(&mut self.departed, incarnation);
     }
 
     fn evacuate(&mut self, zone: String, is_evacuated: bool) {
@@ -434,12 +437,12 @@
     fn expire(&mut self, server: String) {
         if self.servers.get(&server).is_some() {
             self.servers.remove(&server);
-            remember(&mut self.expired, &server);
+            push_bounded(&mut self.expired, &server);
         }
     }
 
-    /// A machine whose last place another took is forgotten until it announces itself again. A change
-    /// that was planned before one of its machines was retired is passed over, and planned anew.
+    /// Removes stores that lost their last replica until they register again. Skips changes that
+    /// were planned before one of their members was decommissioned; the planner replaces them.
     fn change_views(&mut self, changes: Vec<ViewChange>) {
         let before = self.records.replica_counts_by_node();
         for change in changes {
@@ -471,7 +474,7 @@
         Outcome::Done
     }
 
-    /// A machine that a change took in after the leader had looked is still needed.
+    /// Ignored if a view change added the store after the leader had checked.
     fn complete_retirement(&mut self, node: NodeId) {
         let is_needed = self.records.views().any(|(_, view)| view.needs(node));
         if !is_needed {
@@ -487,12 +490,12 @@
     }
 }
 
-/// Adds an id to those remembered, and forgets the oldest when there are too many.
-fn remember(ids: &mut Vector<String>, id: &str) {
+/// Appends an id and drops the oldest one beyond the limit.
+fn push_bounded(ids: &mut Vector<String>, id: &str) {
     if !ids.iter().any(|known| known == id) {
         ids.push_back(id.to_owned());
     }
-    if ids.len() > REMEMBERED_DEPARTURES {
+    if ids.len() > MAX_RETAINED_IDS {
         ids.pop_front();
     }
 }
@@ -500,7 +503,7 @@
 impl StateMachine for FleetState {
     type Output = Option<Outcome>;
 
-    /// None for an entry that can't be read; it changes nothing.
+    /// Returns `None` for an entry that cannot be decoded, which changes nothing.
     fn apply(&mut self, _index: LogIndex, data: &[u8]) -> Self::Output {
         let command = rmp_serde::from_slice(data).ok()?;
         Some(self.execute(command))
--- a/crates/courseshed-registry/tests/answer_size.rs
+++ b/crates/courseshed-registry/tests/answer_size.rs
@@ -1,4 +1,4 @@
-//! What a follower is told at a time stays small, however much it lacks.
+//! Size of updates for followers that lack everything.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,8 +7,9 @@
 use courseshed_registry::{Command, FleetState, Known, Registration, Server, ServerState};
 use courseshed_routing::{CallKind, RecentTables, Route, RoutingTable, Target, VersionedTable};
 
-/// What a 91st of a link of 86 Mbit/s carries in the 0.85 s for which an answer is waited, in bytes.
-const MOST_BYTES: usize = 86_000_000 / 8 / 91 * 85 / 100;
+/// Bytes that each of 91 followers receives over a shared link of 86 Mbit/s within the reply
+/// timeout of 0.85 s.
+const MAX_UPDATE_BYTES: usize = 86_000_000 / 8 / 91 * 85 / 100;
 
 fn registration(number: u32) -> Registration {
     let [_, _, high, low] = number.to_be_bytes();
@@ -52,7 +53,7 @@
 }
 
 #[test]
-fn each_answer_to_a_newcomer_fits_into_the_time_it_is_waited_for() {
+fn initial_update_fits_into_reply_timeout() {
     let mut state = FleetState::default();
     let table = VersionedTable {
         version: 1,
@@ -75,5 +76,8 @@
     let mut update = state.update_for(known);
     update.table_part = tables.part_for(None, None);
     let bytes = rmp_serde::to_vec_named(&update).expect("an update").len();
-    assert!(bytes <= MOST_BYTES, "{bytes} bytes of {MOST_BYTES}");
+    assert!(
+        bytes <= MAX_UPDATE_BYTES,
+        "{bytes} bytes of {MAX_UPDATE_BYTES}"
+    );
 }
--- a/crates/courseshed-registry/tests/growth.rs
+++ b/crates/courseshed-registry/tests/growth.rs
@@ -1,13 +1,12 @@
-//! What controllers and followers do for one server doesn't grow with the number of servers. Work is measured by
-//! the bytes that are allocated for it, which are the same on every run: so this file has one test, beside which
-//! nothing else runs.
+//! Cost per server must not grow with the number of servers. Cost is measured as allocated bytes,
+//! which are deterministic as long as the process runs a single test.
 
 use std::alloc::System;
 use std::net::SocketAddr;
 
 use courseshed_consensus::{LogIndex, StateMachine};
 use courseshed_registry::{
-    Command, FleetState, Known, Registration, Server, ServerList, ServerState, ServersKnown,
+    Command, FleetState, Known, Registration, Server, ServerList, ServerListRevision, ServerState,
 };
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
@@ -42,25 +41,25 @@
     state.apply(LogIndex(1), &data);
 }
 
-/// Bytes allocated while one server of so many starts anew and all that hear of it are told.
-fn bytes_for_one(servers: u32) -> usize {
+/// Bytes allocated when one of `servers` servers restarts and a follower is updated.
+fn bytes_per_restart(servers: u32) -> usize {
     let mut state = FleetState::default();
     for number in 0..servers {
         announce(&mut state, number, 1);
     }
     let mut follower = ServerList::default();
-    let mut told = ServersKnown::default();
-    while let Some(changes) = state.server_changes_since(told) {
-        told = changes.known;
+    let mut sent = ServerListRevision::default();
+    while let Some(changes) = state.server_changes_since(sent) {
+        sent = changes.known;
         follower.apply(changes);
     }
-    let shown = state.clone();
+    let reader_copy = state.clone();
     let region = Region::new(ALLOCATOR);
     announce(&mut state, servers / 2, 2);
     let copy = state.clone();
     let update = copy.update_for(Known {
-        servers: told.changes,
-        removals: told.removals,
+        servers: sent.changes,
+        removals: sent.removals,
         ..Known::default()
     });
     let changes = update.servers.expect("changes");
@@ -69,16 +68,15 @@
     follower.apply(changes);
     assert_eq!(follower.changes_from(&before).len(), 2);
     let bytes = region.change().bytes_allocated;
-    drop(shown);
+    drop(reader_copy);
     bytes
 }
 
-/// At 10,000 servers a copy of the state and a changed list took 10 times what they take at 1,000: 6 MB where it
-/// is some 60 KB now.
+/// Guards against copying the whole server list for a single change.
 #[test]
-fn a_server_that_starts_costs_the_same_among_ten_times_as_many() {
-    let few = bytes_for_one(FEW);
-    let many = bytes_for_one(MANY);
+fn restart_cost_is_independent_of_fleet_size() {
+    let few = bytes_per_restart(FEW);
+    let many = bytes_per_restart(MANY);
     assert!(
         many < 2 * few,
         "{few} bytes of {FEW}, {many} bytes of {MANY}"
--- a/crates/courseshed-registry/tests/state.rs
+++ b/crates/courseshed-registry/tests/state.rs
@@ -1,4 +1,4 @@
-//! What commands do to the fleet's state, and what followers are told.
+//! Effects of commands on the fleet state, and updates for followers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn the_highest_version_stays_in_force_with_its_own_document() {
+fn highest_table_version_stays_active_with_its_document() {
     let mut state = FleetState::default();
     for (version, document) in [(5, "five"), (3, "three"), (5, "other five")] {
         assert_eq!(
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_late_announcement_neither_revives_nor_reopens_a_server() {
+fn late_registration_neither_restores_nor_reopens_a_server() {
     let mut state = FleetState::default();
     apply(&mut state, announce(ServerState::Ready, 1));
     apply(&mut state, announce(ServerState::Draining, 3));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn a_silent_server_may_come_back() {
+fn expired_server_may_register_again() {
     let mut state = FleetState::default();
     apply(&mut state, announce(ServerState::Ready, 1));
     let servers = vec!["one".to_owned()];
@@ -99,7 +99,7 @@
     assert_eq!(state.servers().count(), 1);
 }
 
-fn announce_life(id: &str, sequence: u64) -> Command {
+fn announce_id(id: &str, sequence: u64) -> Command {
     let mut registration = registration(ServerState::Ready, sequence);
     registration.server.id = id.to_owned();
     Command::Announce(registration)
@@ -109,22 +109,22 @@
     state.servers().map(|server| server.id.as_str()).collect()
 }
 
-/// The announcement of an earlier life of a server may be held up until the next life has announced
-/// itself at the same address.
+/// A registration of an earlier incarnation may be delayed until the next one has registered at the
+/// same address.
 #[parameterized(
     still_listed = { false },
     expired_before = { true },
 )]
-fn a_late_announcement_of_an_earlier_life_does_not_come_back(expires: bool) {
+fn late_registration_of_earlier_incarnation_is_ignored(expires: bool) {
     let mut state = FleetState::default();
-    apply(&mut state, announce_life("first", 4));
+    apply(&mut state, announce_id("first", 4));
     if expires {
         let servers = vec!["first".to_owned()];
         apply(&mut state, Command::Expire { servers });
     }
-    apply(&mut state, announce_life("second", 1));
+    apply(&mut state, announce_id("second", 1));
     assert_eq!(listed(&state), ["second"]);
-    apply(&mut state, announce_life("first", 5));
+    apply(&mut state, announce_id("first", 5));
     assert_eq!(listed(&state), ["second"]);
     let late = registration(ServerState::Ready, 6);
     let late = Registration {
@@ -134,33 +134,33 @@
         },
         ..late
     };
-    assert!(state.is_ordinary(&late), "it needs no commit");
+    assert!(state.is_ordinary(&late), "it must not be committed again");
 }
 
-/// The first announcement of a life that has ended may be the one that is held up.
+/// The delayed registration may also be the first one of the ended incarnation.
 #[test]
-fn a_server_whose_address_an_ended_life_took_comes_back() {
+fn server_displaced_by_ended_incarnation_registers_again() {
     let mut state = FleetState::default();
-    apply(&mut state, announce_life("second", 1));
-    apply(&mut state, announce_life("first", 1));
+    apply(&mut state, announce_id("second", 1));
+    apply(&mut state, announce_id("first", 1));
     let servers = vec!["first".to_owned()];
     apply(&mut state, Command::Expire { servers });
-    apply(&mut state, announce_life("second", 2));
+    apply(&mut state, announce_id("second", 2));
     assert_eq!(listed(&state), ["second"]);
 }
 
 #[test]
-fn an_expired_server_comes_back_where_no_other_took_its_address() {
+fn expired_server_returns_if_its_address_is_free() {
     let mut state = FleetState::default();
-    apply(&mut state, announce_life("first", 4));
+    apply(&mut state, announce_id("first", 4));
     let servers = vec!["first".to_owned()];
     apply(&mut state, Command::Expire { servers });
-    apply(&mut state, announce_life("first", 5));
+    apply(&mut state, announce_id("first", 5));
     assert_eq!(listed(&state), ["first"]);
 }
 
-/// An announcement of the server `one` in a life that began at a time.
-fn life(born_ms: u64, sequence: u64, state: ServerState) -> Registration {
+/// A registration of an incarnation of server `one`.
+fn incarnation_registration(born_ms: u64, sequence: u64, state: ServerState) -> Registration {
     let mut registration = registration(state, sequence);
     let server = &mut registration.server;
     server.id = Server::life_id("one", Some(born_ms));
@@ -169,31 +169,38 @@
     registration
 }
 
-fn begin(state: &mut FleetState, born_ms: u64, sequence: u64) {
+fn start_incarnation(state: &mut FleetState, born_ms: u64, sequence: u64) {
     apply(
         state,
-        Command::Announce(life(born_ms, sequence, ServerState::Ready)),
+        Command::Announce(incarnation_registration(
+            born_ms,
+            sequence,
+            ServerState::Ready,
+        )),
     );
 }
 
-/// A server may start again under the id that it had; its count of announcements starts anew. Its first
-/// ones were taken for late ones of the life before.
+/// Guards against ignoring the first registrations of a restarted server, whose sequence numbers
+/// start over.
 #[parameterized(
     at_its_address = { false },
     at_another_address = { true },
 )]
-fn a_server_that_starts_again_under_its_name_is_another_one(moves: bool) {
+fn restarted_server_is_a_new_incarnation(changes_address: bool) {
     let mut state = FleetState::default();
-    begin(&mut state, 1_000, 50);
-    let mut next = life(2_000, 1, ServerState::Ready);
-    if moves {
+    start_incarnation(&mut state, 1_000, 50);
+    let mut next = incarnation_registration(2_000, 1, ServerState::Ready);
+    if changes_address {
         next.server.address.set_port(81);
     }
     assert!(!state.is_ordinary(&next));
     apply(&mut state, Command::Announce(next.clone()));
     assert_eq!(listed(&state), ["one/2000"]);
-    let late = life(1_000, 51, ServerState::Draining);
-    assert!(state.is_ordinary(&late), "a late one of the life before");
+    let late = incarnation_registration(1_000, 51, ServerState::Draining);
+    assert!(
+        state.is_ordinary(&late),
+        "late registration of the previous incarnation"
+    );
     apply(&mut state, Command::Announce(late));
     let server = Server::life_id("one", Some(1_000));
     apply(&mut state, Command::Leave { server });
@@ -202,51 +209,51 @@
 }
 
 #[test]
-fn a_new_life_takes_work_where_the_one_before_was_emptied() {
+fn new_incarnation_is_ready_after_drained_one() {
     let mut state = FleetState::default();
     apply(
         &mut state,
-        Command::Announce(life(1_000, 50, ServerState::Draining)),
+        Command::Announce(incarnation_registration(1_000, 50, ServerState::Draining)),
     );
-    begin(&mut state, 2_000, 1);
+    start_incarnation(&mut state, 2_000, 1);
     let states: Vec<_> = state.servers().map(|server| server.state).collect();
     assert_eq!(states, [ServerState::Ready]);
 }
 
-/// The later life is known although it isn't listed any more.
+/// The later incarnation is remembered although it is no longer listed.
 #[parameterized(
     left = { Command::Leave { server: "one".to_owned() } },
     fell_silent = { Command::Expire { servers: vec!["one/2000".to_owned()] } },
 )]
-fn an_ended_life_does_not_come_back_after_a_later_one(end: Command) {
+fn ended_incarnation_never_replaces_later_one(end: Command) {
     let mut state = FleetState::default();
-    begin(&mut state, 2_000, 1);
+    start_incarnation(&mut state, 2_000, 1);
     apply(&mut state, end);
     assert_eq!(listed(&state), [""; 0]);
-    begin(&mut state, 1_000, 9);
+    start_incarnation(&mut state, 1_000, 9);
     assert_eq!(listed(&state), [""; 0]);
-    begin(&mut state, 3_000, 1);
+    start_incarnation(&mut state, 3_000, 1);
     assert_eq!(listed(&state), ["one/3000"]);
 }
 
-/// What looks for earlier lives isn't stored, and must be there again after a start.
+/// The indexes for earlier incarnations are not persisted and must be rebuilt.
 #[test]
-fn a_restored_state_finds_earlier_lives() {
+fn restored_state_finds_earlier_incarnations() {
     let mut before = FleetState::default();
-    begin(&mut before, 1_000, 5);
+    start_incarnation(&mut before, 1_000, 5);
     let mut state = FleetState::default();
     state.restore(&before.snapshot()).expect("restored");
     assert_eq!(state, before);
-    let mut next = life(2_000, 1, ServerState::Ready);
+    let mut next = incarnation_registration(2_000, 1, ServerState::Ready);
     next.server.address.set_port(81);
     apply(&mut state, Command::Announce(next));
     assert_eq!(listed(&state), ["one/2000"]);
-    apply(&mut state, announce_life("other", 1));
-    apply(&mut state, announce_life("another", 1));
+    apply(&mut state, announce_id("other", 1));
+    apply(&mut state, announce_id("another", 1));
     assert_eq!(listed(&state), ["another", "one/2000"]);
 }
 
-/// A routing table with the service `s`, whose cold servers bear so many calls a second.
+/// A routing table with service `s` and a call rate limit for its cold servers.
 fn route_to_s(cold_per_s: Option<f64>) -> Command {
     let table = RoutingTable {
         services: vec![Service {
@@ -264,16 +271,16 @@
 }
 
 #[test]
-fn an_entry_of_an_unknown_service_ends_no_life_of_a_server() {
+fn registration_for_unknown_service_removes_no_server() {
     let mut state = FleetState::default();
     apply(&mut state, route_to_s(None));
-    begin(&mut state, 1_000, 1);
+    start_incarnation(&mut state, 1_000, 1);
     let mut stray = registration(ServerState::Ready, 1);
     stray.server.id = "stray".to_owned();
     stray.server.service = "unheard of".to_owned();
     apply(&mut state, Command::Announce(stray.clone()));
     assert_eq!(listed(&state), ["one/1000"]);
-    // At an address of its own it waits for a routing table that names its service.
+    // At its own address it is listed until a routing table includes its service.
     stray.server.address.set_port(81);
     apply(&mut state, Command::Announce(stray));
     assert_eq!(listed(&state), ["one/1000", "stray"]);
@@ -286,11 +293,11 @@
     is_cold_for_longer = { Some(24.0), 900, 3_000, true },
     bears_all = { None, 0, 3_000, false },
 )]
-fn how_long_a_server_is_cold_is_news_where_it_bounds_what_it_bears(
+fn warmup_change_matters_if_service_limits_cold_servers(
     cold_per_s: Option<f64>,
     before_ms: u32,
     after_ms: u32,
-    is_news: bool,
+    is_relevant: bool,
 ) {
     let mut state = FleetState::default();
     apply(&mut state, route_to_s(cold_per_s));
@@ -299,7 +306,7 @@
     apply(&mut state, Command::Announce(first));
     let mut next = registration(ServerState::Ready, 2);
     next.server.cold_ms = after_ms;
-    assert_eq!(!state.is_ordinary(&next), is_news);
+    assert_eq!(!state.is_ordinary(&next), is_relevant);
 }
 
 fn evacuate(zone: &str, is_evacuated: bool) -> Command {
@@ -310,7 +317,7 @@
 }
 
 #[test]
-fn evacuated_zones_outlive_a_start_and_are_told_once() {
+fn evacuated_zones_are_persisted_and_sent_once() {
     let mut state = FleetState::default();
     let before = state.update_for(Known::default()).known;
     for _ in 0..2 {
@@ -319,21 +326,24 @@
     apply(&mut state, evacuate("b", true));
     apply(&mut state, evacuate("b", false));
     let update = state.update_for(before);
-    let told = update.evacuated.as_ref().expect("news");
-    assert_eq!(told.zones.iter().collect::<Vec<_>>(), ["a"]);
+    let sent = update.evacuated.as_ref().expect("evacuated zones");
+    assert_eq!(sent.zones.iter().collect::<Vec<_>>(), ["a"]);
     assert!(state.update_for(update.known).is_empty());
     apply(&mut state, evacuate("a", true));
-    assert!(state.update_for(update.known).is_empty(), "nothing new");
+    assert!(state.update_for(update.known).is_empty(), "no changes");
     let mut restored = FleetState::default();
     restored.restore(&state.snapshot()).expect("restored");
     assert_eq!(restored.evacuated(), state.evacuated());
     apply(&mut state, evacuate("a", false));
-    let taken_back = state.update_for(update.known).evacuated.expect("news");
+    let taken_back = state
+        .update_for(update.known)
+        .evacuated
+        .expect("evacuated zones");
     assert!(taken_back.zones.is_empty());
 }
 
 #[test]
-fn followers_are_told_only_what_is_newer() {
+fn followers_receive_only_newer_state() {
     let mut state = FleetState::default();
     apply(&mut state, replace(5, "five"));
     apply(&mut state, announce(ServerState::Ready, 1));
@@ -343,19 +353,19 @@
     assert!(servers.is_whole);
     assert_eq!(servers.changed.len(), 1);
     assert!(state.update_for(first.known).is_empty());
-    // A controller that lags has nothing to tell to whom knows more.
+    // A lagging controller has no changes for a follower that is ahead of it.
     let lagging = FleetState::default();
     assert!(lagging.update_for(first.known).is_empty());
 }
 
-/// News of servers may be gathered; what operators ask for may not.
+/// Server changes may be batched; changes requested by operators may not.
 #[parameterized(
     a_server = { announce(ServerState::Ready, 1), true },
     a_routing_table = { replace(5, "five"), false },
     an_emptied_zone = { evacuate("a", true), false },
     replicas = { view_with(1, &[1]), false },
 )]
-fn news_of_servers_alone_can_wait(command: Command, can_wait: bool) {
+fn only_server_changes_can_wait(command: Command, can_wait: bool) {
     let mut state = FleetState::default();
     apply(&mut state, command);
     let update = state.update_for(Known::default());
@@ -366,8 +376,8 @@
     assert_eq!(together.can_wait(), can_wait);
 }
 
-/// A server of its own, at an address of its own.
-fn other(id: &str, sequence: u64) -> Command {
+/// Registers another server at its own address.
+fn announce_other(id: &str, sequence: u64) -> Command {
     let mut registration = registration(ServerState::Ready, sequence);
     registration.server.id = id.to_owned();
     let port = id.bytes().fold(0_u16, |port, byte| {
@@ -382,12 +392,12 @@
     Command::Expire { servers }
 }
 
-/// A follower that is told of changes alone, whenever it asks, has the servers of the state.
+/// A follower that applies incremental updates only has the same servers as the state.
 #[test]
-fn followers_are_told_what_changed_of_the_servers_and_no_more() {
+fn followers_receive_only_changed_servers() {
     let mut state = FleetState::default();
     for number in 0..50 {
-        apply(&mut state, other(&format!("s{number:02}"), 1));
+        apply(&mut state, announce_other(&format!("s{number:02}"), 1));
     }
     let mut known = Known::default();
     let mut follower = ServerList::default();
@@ -395,49 +405,49 @@
         let update = state.update_for(known);
         known = update.known;
         let changes = update.servers;
-        let told = changes
+        let sent = changes
             .as_ref()
             .map_or(0, |it| it.changed.len() + it.removed.len());
         if let Some(changes) = changes {
             follower.apply(changes);
         }
-        let whole: Vec<&Server> = state.servers().collect();
-        let has: Vec<&Server> = follower.iter().map(|server| &**server).collect();
-        assert_eq!(has, whole);
-        told
+        let expected: Vec<&Server> = state.servers().collect();
+        let actual: Vec<&Server> = follower.iter().map(|server| &**server).collect();
+        assert_eq!(actual, expected);
+        sent
     };
     assert_eq!(follow(&state), 50);
     assert_eq!(follow(&state), 0);
     apply(&mut state, expire("s07"));
-    apply(&mut state, other("new", 1));
+    apply(&mut state, announce_other("new", 1));
     assert_eq!(follow(&state), 2);
     apply(&mut state, expire("new"));
-    apply(&mut state, other("new", 2));
-    assert_eq!(follow(&state), 2, "gone and back");
+    apply(&mut state, announce_other("new", 2));
+    assert_eq!(follow(&state), 2, "removed and added again");
     let server = "s08".to_owned();
     apply(&mut state, Command::Leave { server });
-    apply(&mut state, other("s08", 9));
+    apply(&mut state, announce_other("s08", 9));
     assert_eq!(follow(&state), 1, "a server that left stays away");
     apply(&mut state, expire("unknown"));
     assert_eq!(follow(&state), 0);
 }
 
-/// A long list is told in parts, while servers come, change and go; so a controller holds little of it for each of
-/// the followers that start together.
+/// Guards against large replies to followers that start together: the list is sent in batches,
+/// while servers register and expire.
 #[parameterized(
     a_quiet_list = { 0 },
     a_busy_list = { 7 },
     more_removals_than_are_remembered = { 3_000 },
 )]
-fn a_long_list_is_told_in_parts_that_come_to_the_whole(changes_between: u64) {
+fn batches_of_a_long_list_add_up_to_the_full_list(changes_between: u64) {
     let mut state = FleetState::default();
     for number in 0..3_500 {
-        apply(&mut state, numbered(number, 1));
+        apply(&mut state, announce_numbered(number, 1));
     }
     let mut known = Known::default();
     let mut follower = ServerList::default();
     let mut next = 0;
-    for part in 0..40 {
+    for batch in 0..40 {
         let update = state.update_for(known);
         known = update.known;
         let has_more = update.has_more();
@@ -446,26 +456,26 @@
         };
         assert!(changes.changed.len() <= 1_000, "{}", changes.changed.len());
         follower.apply(changes);
-        // Parts end once the list rests for a while.
-        if has_more && part < 10 {
+        // Without further changes the batches come to an end.
+        if has_more && batch < 10 {
             for _ in 0..changes_between {
                 let number = (next * 7) % 3_500;
                 apply(&mut state, expire(&format!("n{number:05}")));
-                apply(&mut state, numbered(number as u16, 2 + next));
+                apply(&mut state, announce_numbered(number as u16, 2 + next));
                 apply(&mut state, expire(&format!("n{:05}", (next * 11) % 3_500)));
                 next += 1;
             }
         }
     }
-    let whole: Vec<&Server> = state.servers().collect();
-    let has: Vec<&Server> = follower.iter().map(|server| &**server).collect();
-    assert_eq!(has.len(), whole.len());
-    assert_eq!(has, whole);
+    let expected: Vec<&Server> = state.servers().collect();
+    let actual: Vec<&Server> = follower.iter().map(|server| &**server).collect();
+    assert_eq!(actual.len(), expected.len());
+    assert_eq!(actual, expected);
     assert!(state.update_for(known).is_empty());
 }
 
-/// One of many servers, at an address of its own.
-fn numbered(number: u16, sequence: u64) -> Command {
+/// Registers one of many servers at its own address.
+fn announce_numbered(number: u16, sequence: u64) -> Command {
     let mut registration = registration(ServerState::Ready, sequence);
     registration.server.id = format!("n{number:05}");
     registration.server.address.set_port(number);
@@ -473,12 +483,12 @@
 }
 
 #[test]
-fn a_follower_that_lacks_forgotten_removals_is_told_the_whole() {
+fn follower_that_lacks_pruned_removals_receives_full_list() {
     let mut state = FleetState::default();
-    apply(&mut state, other("stays", 1));
+    apply(&mut state, announce_other("stays", 1));
     let early = state.update_for(Known::default()).known;
     for number in 0..4_200_u64 {
-        apply(&mut state, other("comes and goes", number));
+        apply(&mut state, announce_other("comes and goes", number));
         apply(&mut state, expire("comes and goes"));
     }
     let changes = state.update_for(early).servers.expect("changes");
@@ -488,7 +498,7 @@
 }
 
 #[test]
-fn a_snapshot_makes_an_equal_state() {
+fn snapshot_restores_equal_state() {
     let mut state = FleetState::default();
     apply(&mut state, replace(5, "five"));
     apply(&mut state, announce(ServerState::Ready, 1));
@@ -510,7 +520,7 @@
 }
 
 #[test]
-fn emptying_a_machine_is_refused_where_too_few_would_remain() {
+fn retirement_is_rejected_if_too_few_stores_would_remain() {
     let mut state = FleetState::default();
     let retire = |needed| Command::Retire {
         name: "store-1".to_owned(),
@@ -528,7 +538,7 @@
     assert_eq!(apply(&mut state, retire(1)), Some(Outcome::TooFew));
     assert_eq!(apply(&mut state, retire(0)), Some(Outcome::Done));
     assert_eq!(state.retirement("store-1"), Some(Retirement::Running));
-    // A restart on the same disk changes nothing; an empty disk is another machine.
+    // A restart on the same disk changes nothing, whereas a wiped disk is a new incarnation.
     apply(
         &mut state,
         Command::RegisterStore {
@@ -548,15 +558,15 @@
 }
 
 #[test]
-fn an_entry_that_cannot_be_read_changes_nothing() {
+fn undecodable_entry_changes_nothing() {
     let mut state = FleetState::default();
     assert_eq!(state.apply(LogIndex(1), b"nonsense"), None);
     assert_eq!(state, FleetState::default());
 }
 
-/// Callers were refused while a server stood idle: it was dropped in the moment it announced itself.
+/// Guards against removing a server, and so rejecting calls, right after its registration.
 #[test]
-fn whoever_has_just_announced_itself_is_not_silent() {
+fn newly_registered_server_is_not_silent() {
     let second = Duration::from_secs(1);
     let settings = LivenessSettings {
         server_silence: 6 * second,
@@ -601,7 +611,7 @@
     }])
 }
 
-/// Stores 1 to 3, of which store 1 is to be emptied.
+/// Stores 1 to 3, of which store 1 is being retired.
 fn state_with_retirement() -> FleetState {
     let mut state = FleetState::default();
     for node in 1..=3 {
@@ -618,9 +628,9 @@
     state
 }
 
-/// Found by reading: the plan that takes the store was under way when the retirement was completed.
+/// A view change that adds the store may be committed just before its retirement completes.
 #[test]
-fn a_machine_that_a_partition_needs_is_not_retired() {
+fn store_needed_by_a_partition_is_not_retired() {
     let mut state = state_with_retirement();
     apply(&mut state, view_with(1, &[1, 2, 3]));
     let complete = || Command::CompleteRetirement { node: NodeId(1) };
@@ -631,9 +641,9 @@
     assert_eq!(state.retirement("store-1"), Some(Retirement::Completed));
 }
 
-/// The other order of the same two commands.
+/// The reverse order: the retirement completes before the view change is committed.
 #[test]
-fn a_machine_that_was_retired_gets_no_place_in_a_partition() {
+fn retired_store_is_not_added_to_a_partition() {
     let mut state = state_with_retirement();
     apply(&mut state, Command::CompleteRetirement { node: NodeId(1) });
     apply(&mut state, view_with(1, &[1, 2, 3]));
