--- a/crates/courseshed-pool/src/cost.rs
+++ b/crates/courseshed-pool/src/cost.rs
@@ -34,7 +34,7 @@
     /// Whether it stands in the zone of the call's gateway.
     pub is_near: bool,
     /// Part of its calls that failed lately.
-    pub failing_part: f64,
+    pub failure_rate: f64,
     /// What a millisecond is worth to the call's program; 1 is usual.
     pub worth: f64,
 }
@@ -46,7 +46,7 @@
     let own = prospect.worth * (decode + prospect.read_ms);
     let others = prospect.read_ms * (READ_HOLDS_UP * running + READ_GIVES_WAY);
     let distance = if prospect.is_near { 0.0 } else { OTHER_ZONE_MS };
-    own + others + distance + prospect.failing_part * FAILURE_MS
+    own + others + distance + prospect.failure_rate * FAILURE_MS
 }
 
 /// What a millisecond is worth to a program of this slack: most to one that is about to miss its aim, least to one that
--- a/crates/courseshed-pool/src/engines.rs
+++ b/crates/courseshed-pool/src/engines.rs
@@ -54,7 +54,7 @@
 
     /// Whether it may be given calls, now or once a place is free.
     pub(crate) fn takes_calls(&self, now: Duration) -> bool {
-        self.listing.is_ready && self.health.may_be_tried(now, self.running.len())
+        self.listing.is_ready && self.health.allows_call(now, self.running.len())
     }
 
     /// Whether it may be given a call now.
--- a/crates/courseshed-pool/src/health.rs
+++ b/crates/courseshed-pool/src/health.rs
@@ -1,100 +1,103 @@
-//! Whether an engine may be tried, from what became of calls there.
+//! Per-engine circuit breaker and failure rate.
 //!
-//! An engine that fails quickly looks idle and draws calls; each of them is lost to its caller for a try. So an engine
-//! rests after failures in a row, is then tried with one call, and counts as dearer while part of its calls fail.
+//! An engine that fails fast looks idle and attracts calls. After consecutive failures it is backed
+//! off, then probed with a single call; while some of its calls fail, its failure rate adds to its
+//! cost.
 
 use std::time::Duration;
 
-/// First and longest rest. A failed turn is sent anew within 0.1 to 0.4 s: the first rest lets that go elsewhere.
-const FIRST_REST: Duration = Duration::from_millis(400);
-const LONGEST_REST: Duration = Duration::from_secs(4);
-/// Rest after an engine said that it is full: about the time in which a call of a busy engine ends.
-const FULL_REST: Duration = Duration::from_millis(40);
-/// Failures in a row after which an engine rests. One may be the call's own; two in a row of a service that fails one
-/// call in a hundred come by chance once in ten thousand.
-const FAILURES_IN_A_ROW: u32 = 2;
-/// Time in which what became of calls counts half: long enough for the dozen calls that tell a part that fails.
+/// Bounds of the exponential backoff. The minimum covers the client's retry delay of 0.1 to 0.4 s,
+/// so that the retry goes to another engine.
+const MIN_BACKOFF: Duration = Duration::from_millis(400);
+const MAX_BACKOFF: Duration = Duration::from_secs(4);
+/// Backoff after an engine reported that it is full.
+const FULL_BACKOFF: Duration = Duration::from_millis(40);
+/// Consecutive failures that open the breaker. A single failure may be caused by the call itself.
+const FAILURE_THRESHOLD: u32 = 2;
+/// Half-life of the success and failure counts.
 const HALF_LIFE: Duration = Duration::from_millis(1500);
-/// Good answers that every engine is taken to have had, so that one failure alone says little.
-const ASSUMED_GOOD: f64 = 8.0;
+/// Successes assumed for every engine, so that one early failure does not dominate the rate.
+const PRIOR_SUCCESSES: f64 = 8.0;
 
-/// What became of calls at an engine.
+/// Call outcomes of one engine.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Health {
-    in_a_row: u32,
-    rests: u32,
-    rests_until: Duration,
+    consecutive_failures: u32,
+    backoff_level: u32,
+    backoff_until: Duration,
     is_probing: bool,
-    good: f64,
-    failed: f64,
-    counted_at: Duration,
+    successes: f64,
+    failures: f64,
+    decayed_at: Duration,
 }
 
 impl Health {
-    /// Whether the engine may be given a call, with so many running there.
-    pub(crate) fn may_be_tried(&self, now: Duration, running: usize) -> bool {
-        self.rests_until <= now && (!self.is_probing || running == 0)
+    /// Whether the engine may be given a call while `running` calls are running on it.
+    pub(crate) fn allows_call(&self, now: Duration, running: usize) -> bool {
+        self.backoff_until <= now && (!self.is_probing || running == 0)
     }
 
-    /// The part of calls that failed lately, 0 to 1.
-    pub(crate) fn failing_part(&self, now: Duration) -> f64 {
-        let fade = self.fade(now);
-        let (good, failed) = (self.good * fade, self.failed * fade);
-        failed / (good + failed + ASSUMED_GOOD)
+    /// Recent failure rate, from 0 to 1.
+    pub(crate) fn failure_rate(&self, now: Duration) -> f64 {
+        let factor = self.decay_factor(now);
+        let (successes, failures) = (self.successes * factor, self.failures * factor);
+        failures / (successes + failures + PRIOR_SUCCESSES)
     }
 
-    pub(crate) fn note_good(&mut self, now: Duration) {
-        self.fade_to(now);
-        self.good += 1.0;
-        self.in_a_row = 0;
+    pub(crate) fn record_success(&mut self, now: Duration) {
+        self.decay(now);
+        self.successes += 1.0;
+        self.consecutive_failures = 0;
         self.is_probing = false;
-        // Trust comes back step by step: a part that fails must not undo what rests have learned.
-        if self.failing_part(now) < 0.1 {
-            self.rests = 0;
+        // The backoff level is only reset once the failure rate is low: an engine that fails part
+        // of its calls must not return to the shortest backoff after each success.
+        if self.failure_rate(now) < 0.1 {
+            self.backoff_level = 0;
         }
     }
 
-    pub(crate) fn note_full(&mut self, now: Duration) {
-        self.rests_until = self.rests_until.max(now + FULL_REST);
+    pub(crate) fn record_full(&mut self, now: Duration) {
+        self.backoff_until = self.backoff_until.max(now + FULL_BACKOFF);
     }
 
-    pub(crate) fn note_failed(&mut self, now: Duration) {
-        self.fade_to(now);
-        self.failed += 1.0;
-        self.in_a_row += 1;
-        if self.in_a_row >= FAILURES_IN_A_ROW || self.is_probing {
-            self.rest(now);
+    pub(crate) fn record_failure(&mut self, now: Duration) {
+        self.decay(now);
+        self.failures += 1.0;
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= FAILURE_THRESHOLD || self.is_probing {
+            self.back_off(now);
         }
     }
 
-    /// Takes in that the engine could not be reached or broke off: its calls are as good as lost.
-    pub(crate) fn note_broken(&mut self, now: Duration) {
-        self.fade_to(now);
-        self.failed += 1.0;
-        self.in_a_row += 1;
-        self.rest(now);
+    /// Records that the engine was unreachable or dropped the connection. Backs off at once,
+    /// without waiting for a second failure.
+    pub(crate) fn record_disconnect(&mut self, now: Duration) {
+        self.decay(now);
+        self.failures += 1.0;
+        self.consecutive_failures += 1;
+        self.back_off(now);
     }
 
-    fn rest(&mut self, now: Duration) {
-        if self.rests_until > now {
-            // Calls sent before the rest tell nothing new.
+    fn back_off(&mut self, now: Duration) {
+        if self.backoff_until > now {
+            // Failures of calls sent before the backoff began carry no new information.
             return;
         }
-        let rest = FIRST_REST * 2u32.saturating_pow(self.rests.min(8));
-        self.rests += 1;
-        self.rests_until = now + rest.min(LONGEST_REST);
+        let backoff = MIN_BACKOFF * 2u32.saturating_pow(self.backoff_level.min(8));
+        self.backoff_level += 1;
+        self.backoff_until = now + backoff.min(MAX_BACKOFF);
         self.is_probing = true;
     }
 
-    fn fade(&self, now: Duration) -> f64 {
-        let passed = now.saturating_sub(self.counted_at).as_secs_f64();
+    fn decay_factor(&self, now: Duration) -> f64 {
+        let passed = now.saturating_sub(self.decayed_at).as_secs_f64();
         0.5f64.powf(passed / HALF_LIFE.as_secs_f64())
     }
 
-    fn fade_to(&mut self, now: Duration) {
-        let fade = self.fade(now);
-        self.good *= fade;
-        self.failed *= fade;
-        self.counted_at = now;
+    fn decay(&mut self, now: Duration) {
+        let factor = self.decay_factor(now);
+        self.successes *= factor;
+        self.failures *= factor;
+        self.decayed_at = now;
     }
 }
--- a/crates/courseshed-pool/src/quantile.rs
+++ b/crates/courseshed-pool/src/quantile.rs
@@ -1,12 +1,12 @@
-//! A quantile of times that come one after another, followed without keeping them. Pure.
+//! Streaming estimate of a quantile in constant memory.
 
-/// By how much of itself an estimate moves with one time, up and down together.
-const STEP: f64 = 0.2;
-/// No estimate falls below this, so that it can rise again.
-const LEAST: f64 = 1e-5;
+/// Relative step of the estimate per observation, upward and downward steps together.
+const RELATIVE_STEP: f64 = 0.2;
+/// Lower bound of the estimate; at zero, relative steps could not raise it again.
+const MIN_ESTIMATE: f64 = 1e-5;
 
-/// An estimate of one quantile. It moves by a part of itself, whatever the size of what was seen, so
-/// single extremes don't shake it.
+/// Streaming estimate of one quantile. Steps are relative to the estimate and independent of the
+/// size of the observation, so outliers have little effect.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quantile {
     share: f64,
@@ -14,28 +14,29 @@
 }
 
 impl Quantile {
-    /// Follows the value that a share (0 to 1) of all times stays below, from a first guess on.
+    /// Tracks the value that a fraction `share` (0 to 1) of the observations stays below, starting
+    /// from `guess`.
     #[must_use]
     pub fn new(share: f64, guess: f64) -> Self {
         Self {
             share,
-            value: guess.max(LEAST),
+            value: guess.max(MIN_ESTIMATE),
         }
     }
 
-    /// The estimate.
+    /// Current estimate.
     #[must_use]
     pub fn value(&self) -> f64 {
         self.value
     }
 
-    /// Takes in one time.
-    pub fn note(&mut self, seen: f64) {
-        let change = if seen < self.value {
-            -STEP * (1.0 - self.share)
+    /// Records one observation.
+    pub fn note(&mut self, observed: f64) {
+        let change = if observed < self.value {
+            -RELATIVE_STEP * (1.0 - self.share)
         } else {
-            STEP * self.share
+            RELATIVE_STEP * self.share
         };
-        self.value = (self.value * (1.0 + change)).max(LEAST);
+        self.value = (self.value * (1.0 + change)).max(MIN_ESTIMATE);
     }
 }
--- a/crates/courseshed-pool/src/scheduler.rs
+++ b/crates/courseshed-pool/src/scheduler.rs
@@ -248,7 +248,7 @@
             decode_ms: usual_decode_ms * slowness,
             running: engine.running() as u32,
             is_near: engine.listing.zone == call.demand.zone,
-            failing_part: engine.health.failing_part(now),
+            failure_rate: engine.health.failure_rate(now),
             worth: cost::worth_of(call.standing.slack(now)),
         });
         let salt = call.demand.parts.first();
@@ -367,7 +367,7 @@
                 first_part_ms,
                 took_ms,
             } => {
-                engine.health.note_good(now);
+                engine.health.record_success(now);
                 let times = AnswerTimes {
                     unread_tokens: granted.unread_tokens,
                     generated,
@@ -381,9 +381,9 @@
                     self.programs.note_answer(demand.route, generated);
                 }
             }
-            CallEnd::Failed => engine.health.note_failed(now),
-            CallEnd::Refused => engine.health.note_full(now),
-            CallEnd::Broken => engine.health.note_broken(now),
+            CallEnd::Failed => engine.health.record_failure(now),
+            CallEnd::Refused => engine.health.record_full(now),
+            CallEnd::Broken => engine.health.record_disconnect(now),
             CallEnd::Given => {}
         }
     }
