--- a/crates/courseshed-pool/src/scheduler.rs
+++ b/crates/courseshed-pool/src/scheduler.rs
@@ -7,10 +7,10 @@
 use crate::calls::{Calls, GrantedCall, Plan, WaitingCall};
 use crate::cost::{self, Prospect};
 use crate::engines::{Engine, Engines};
-use crate::order::{self, Claim};
+use crate::order::{self, QueueEntry};
 use crate::pace::{AnswerTimes, PoolPace};
 use crate::programs::{Programs, Standing};
-use crate::shares::Shares;
+use crate::shares::TenantShares;
 use crate::{
     CallDemand, CallEnd, CallNote, Decision, DecisionInputs, EngineListing, RunningCall, Ticket,
     Verdict,
@@ -49,7 +49,7 @@
     engines: Engines,
     calls: Calls,
     programs: Programs,
-    shares: Shares,
+    shares: TenantShares,
     pace: PoolPace,
     /// Refusals so far, which spread the times to come back.
     refusals: u64,
@@ -136,7 +136,7 @@
 
     /// Forgets calls whose gateway fell silent, and decides what is due.
     pub fn tick(&mut self, now: Duration) {
-        self.shares.fade_to(now);
+        self.shares.decay(now);
         self.forget_silent(now);
         self.refuse_hopeless(now);
         self.give_places(now);
@@ -288,7 +288,13 @@
             .iter()
             .filter(|(_, call)| call.may_go_to(engine));
         let mut ordered: Vec<(f64, Ticket, &WaitingCall)> = open
-            .map(|(ticket, call)| (order::place_ms(&self.claim(call), now), *ticket, call))
+            .map(|(ticket, call)| {
+                (
+                    order::effective_arrival_ms(&self.queue_entry(call), now),
+                    *ticket,
+                    call,
+                )
+            })
             .collect();
         ordered.sort_by(|(left, ..), (right, ..)| left.total_cmp(right));
         let first_ms = ordered.first()?.0;
@@ -308,9 +314,9 @@
         best.map(|(_, ticket)| ticket)
     }
 
-    fn claim<'a>(&self, call: &'a WaitingCall) -> Claim<'a> {
+    fn queue_entry<'a>(&self, call: &'a WaitingCall) -> QueueEntry<'a> {
         let tenant = call.demand.tenant;
-        Claim {
+        QueueEntry {
             arrived: call.arrived,
             rank: call.demand.rank,
             standing: &call.standing,
