--- a/crates/courseshed-pool/src/cost.rs
+++ b/crates/courseshed-pool/src/cost.rs
@@ -1,80 +1,86 @@
-//! What a call is expected to cost at an engine, in milliseconds of everyone's time.
+//! Expected cost of running a call on an engine, in milliseconds, including the time lost by other
+//! calls.
 //!
-//! Load that it answers: engines of unequal speed and prompts that don't fit everywhere. A program with little slack is
-//! worth waiting for a fast engine, one with much goes where there is room; and a prompt is read anew only
-//! where that is cheaper than waiting for an engine that holds it.
+//! Covers engines of unequal speed and prompts that are cached on only some of them: a program with
+//! little slack may wait for a fast engine, one with much slack goes where there is capacity, and a
+//! prompt is prefilled again only where that is cheaper than waiting for an engine that has it
+//! cached.
 
 use courseshed_types::ServerKey;
 
-/// How much slower a call is for each other one at its engine: batches take longer.
-const SLOWDOWN_OF_CALL: f64 = 0.015;
-/// What a read holds up at each running call, against its own time: engines read between the tokens of others, and what
-/// a crowd loses by it comes back to the calls that wait. On 44 engines in a crowd, 4 instead of 1 took the tokens read
-/// from 93 to 75 million and the share of worth served from 0.88 to 0.92 (one run each).
-const READ_HOLDS_UP: f64 = 4.0;
-/// What the room that a read takes costs later, as a part of its time: other prompts give way and are read again.
-const READ_GIVES_WAY: f64 = 0.5;
-/// What sending a call to another zone is worth: some four times the way there and back between near zones.
-const OTHER_ZONE_MS: f64 = 8.0;
-/// What a failed try costs a caller: the turn is sent anew after 0.1 to 0.4 s, and what it ran is lost.
-const FAILURE_MS: f64 = 1_000.0;
-/// Bounds of what a millisecond is worth to a program.
-const LEAST_WORTH: f64 = 0.5;
-const MOST_WORTH: f64 = 2.0;
+/// Relative slowdown of decoding for each further call in the batch.
+const BATCH_SLOWDOWN_PER_CALL: f64 = 0.015;
+/// Cost of a prefill to each running call, relative to the prefill time: prefill is interleaved
+/// with the decoding of the other calls, and the delay propagates to the queue.
+const PREFILL_STALL_FACTOR: f64 = 4.0;
+/// Cost of the cache evictions that a prefill causes, relative to the prefill time.
+const EVICTION_COST_FACTOR: f64 = 0.5;
+/// Penalty for an engine in another zone than the gateway: about four round trips between nearby
+/// zones.
+const CROSS_ZONE_PENALTY_MS: f64 = 8.0;
+/// Penalty for a failed attempt: the retry delay of 0.1 to 0.4 s and the work that is lost.
+const FAILURE_PENALTY_MS: f64 = 1_000.0;
+/// Bounds of the urgency, the weight of the call's own time against the time of other calls.
+const MIN_URGENCY: f64 = 0.5;
+const MAX_URGENCY: f64 = 2.0;
 
-/// What is known of an engine and a call that may go there.
+/// Inputs of the cost of a call on one engine.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub(crate) struct Prospect {
-    /// Time that the engine reads the prompt, in milliseconds.
-    pub read_ms: f64,
-    /// Time that it generates the answer alone, in milliseconds.
+pub(crate) struct CostInputs {
+    /// Expected prefill time, in milliseconds.
+    pub prefill_ms: f64,
+    /// Expected decode time without other calls in the batch, in milliseconds.
     pub decode_ms: f64,
-    /// Calls there.
+    /// Calls running on the engine.
     pub running: u32,
-    /// Whether it stands in the zone of the call's gateway.
-    pub is_near: bool,
-    /// Part of its calls that failed lately.
+    /// Whether the engine is in the zone of the call's gateway.
+    pub is_same_zone: bool,
+    /// Recent failure rate of the engine.
     pub failure_rate: f64,
-    /// What a millisecond is worth to the call's program; 1 is usual.
-    pub worth: f64,
+    /// Urgency of the call's program; 1 is neutral.
+    pub urgency: f64,
 }
 
-/// The expected cost, in milliseconds.
-pub(crate) fn expected_ms(prospect: &Prospect) -> f64 {
-    let running = f64::from(prospect.running);
-    let decode = prospect.decode_ms * (1.0 + SLOWDOWN_OF_CALL * running);
-    let own = prospect.worth * (decode + prospect.read_ms);
-    let others = prospect.read_ms * (READ_HOLDS_UP * running + READ_GIVES_WAY);
-    let distance = if prospect.is_near { 0.0 } else { OTHER_ZONE_MS };
-    own + others + distance + prospect.failure_rate * FAILURE_MS
+/// Expected cost in milliseconds.
+pub(crate) fn expected_cost_ms(inputs: &CostInputs) -> f64 {
+    let running = f64::from(inputs.running);
+    let decode = inputs.decode_ms * (1.0 + BATCH_SLOWDOWN_PER_CALL * running);
+    let own = inputs.urgency * (decode + inputs.prefill_ms);
+    let others = inputs.prefill_ms * (PREFILL_STALL_FACTOR * running + EVICTION_COST_FACTOR);
+    let zone_penalty = if inputs.is_same_zone {
+        0.0
+    } else {
+        CROSS_ZONE_PENALTY_MS
+    };
+    own + others + zone_penalty + inputs.failure_rate * FAILURE_PENALTY_MS
 }
 
-/// What a millisecond is worth to a program of this slack: most to one that is about to miss its aim, least to one that
-/// has time, or that will miss it whatever is done.
-pub(crate) fn worth_of(slack: Option<f64>) -> f64 {
+/// Urgency of a program with this slack: highest just before the target time is missed, lowest with
+/// ample slack or if the target can't be met on any engine.
+pub(crate) fn urgency(slack: Option<f64>) -> f64 {
     let Some(slack) = slack else {
         return 1.0;
     };
-    if slack < HOPELESS_SLACK {
-        return LEAST_WORTH;
+    if slack < UNREACHABLE_SLACK {
+        return MIN_URGENCY;
     }
-    // 2 without spare time, 1 with half again the needed time, least from three quarters on.
-    (MOST_WORTH - 2.0 * (slack - 1.0)).clamp(LEAST_WORTH, MOST_WORTH)
+    // 2 at a slack of 1, 1 at a slack of 1.5, the minimum from a slack of 1.75.
+    (MAX_URGENCY - 2.0 * (slack - 1.0)).clamp(MIN_URGENCY, MAX_URGENCY)
 }
 
-/// Below this slack no engine of the pool makes a program's aim.
-const HOPELESS_SLACK: f64 = 0.6;
+/// Slack below which no engine of the pool can meet a program's target time.
+const UNREACHABLE_SLACK: f64 = 0.6;
 
-/// Most that the order of engines which depends on the prompt alone may weigh, in milliseconds.
-const PREFERENCE_MS: f64 = 4.0;
+/// Upper bound of the tie-break between engines of equal cost, in milliseconds.
+const MAX_TIE_BREAK_MS: f64 = 4.0;
 
-/// What an engine costs more than the first one in an order that depends on the salt alone: engines that cost the
-/// same otherwise are spread over, and the same prompt prefers the same one.
-pub(crate) fn preference_ms(engine: ServerKey, salt: u64) -> f64 {
-    // The finalizer of splitmix64, which spreads neighbouring inputs over all values.
-    let mut mixed = salt.wrapping_add(u64::from(engine.0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
-    mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    mixed = (mixed ^ (mixed >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    mixed ^= mixed >> 31;
-    PREFERENCE_MS * (mixed as f64 / u64::MAX as f64)
+/// Pseudo-random tie-break between engines, as in rendezvous hashing: calls are spread over engines
+/// of equal cost, and calls with the same salt prefer the same engine.
+pub(crate) fn tie_break_ms(engine: ServerKey, salt: u64) -> f64 {
+    // The finalizer of SplitMix64, which maps neighbouring inputs to unrelated values.
+    let mut hash = salt.wrapping_add(u64::from(engine.0).wrapping_mul(0x9e37_79b9_7f4a_7c15));
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    hash ^= hash >> 31;
+    MAX_TIE_BREAK_MS * (hash as f64 / u64::MAX as f64)
 }
--- a/crates/courseshed-pool/src/engines.rs
+++ b/crates/courseshed-pool/src/engines.rs
@@ -6,8 +6,8 @@
 use courseshed_types::ServerKey;
 
 use crate::health::Health;
-use crate::held_prompts::HeldPrompts;
-use crate::pace::EnginePace;
+use crate::prompt_cache::PromptCache;
+use crate::speed::EngineSpeed;
 use crate::{EngineListing, Ticket};
 
 /// Calls sent ahead of an engine's places, as a part of them: a place is free for the way of the news and of the next
@@ -18,9 +18,9 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Engine {
     pub listing: EngineListing,
-    pub pace: EnginePace,
+    pub speed: EngineSpeed,
     pub health: Health,
-    pub held: HeldPrompts,
+    pub prompt_cache: PromptCache,
     /// Calls there, with the times when they are expected to end.
     running: BTreeMap<Ticket, Duration>,
     /// Calls that wait for a place here rather than go elsewhere.
@@ -29,13 +29,13 @@
 
 impl Engine {
     fn new(listing: EngineListing) -> Self {
-        let mut held = HeldPrompts::default();
-        held.set_memory(listing.memory_tokens);
+        let mut prompt_cache = PromptCache::default();
+        prompt_cache.set_memory(listing.memory_tokens);
         Self {
             listing,
-            pace: EnginePace::default(),
+            speed: EngineSpeed::default(),
             health: Health::default(),
-            held,
+            prompt_cache,
             running: BTreeMap::new(),
             awaited: 0,
         }
@@ -116,7 +116,7 @@
             let engine = match known.remove(&listing.key) {
                 Some(mut engine) => {
                     if engine.listing.memory_tokens != listing.memory_tokens {
-                        engine.held.set_memory(listing.memory_tokens);
+                        engine.prompt_cache.set_memory(listing.memory_tokens);
                     }
                     engine.listing = *listing;
                     engine
--- a/crates/courseshed-pool/src/lib.rs
+++ b/crates/courseshed-pool/src/lib.rs
@@ -8,14 +8,14 @@
 mod cost;
 mod engines;
 mod health;
-mod held_prompts;
 mod message;
 mod order;
-mod pace;
 mod programs;
+mod prompt_cache;
 mod quantile;
 mod scheduler;
 mod shares;
+mod speed;
 
 pub use message::{
     CallDemand, CallEnd, CallNote, Decision, DecisionInputs, EngineListing, NameKey,
--- a/crates/courseshed-pool/src/scheduler.rs
+++ b/crates/courseshed-pool/src/scheduler.rs
@@ -5,12 +5,12 @@
 use courseshed_types::{NodeId, ServerKey};
 
 use crate::calls::{Calls, GrantedCall, Plan, WaitingCall};
-use crate::cost::{self, Prospect};
+use crate::cost::{self, CostInputs};
 use crate::engines::{Engine, Engines};
 use crate::order::{self, QueueEntry};
-use crate::pace::{AnswerTimes, PoolPace};
 use crate::programs::{Programs, Standing};
 use crate::shares::TenantShares;
+use crate::speed::{AnswerTiming, PoolSpeed};
 use crate::{
     CallDemand, CallEnd, CallNote, Decision, DecisionInputs, EngineListing, RunningCall, Ticket,
     Verdict,
@@ -50,7 +50,7 @@
     calls: Calls,
     programs: Programs,
     shares: TenantShares,
-    pace: PoolPace,
+    speed: PoolSpeed,
     /// Refusals so far, which spread the times to come back.
     refusals: u64,
     tidied_at: Duration,
@@ -90,7 +90,7 @@
         if now.saturating_sub(started_at) < LEARNS_FOR {
             for held in &demand.held {
                 if let Some(engine) = self.engines.get_mut(held.server) {
-                    engine.held.note_used(&held.parts, 0);
+                    engine.prompt_cache.record_use(&held.parts, 0);
                 }
             }
         }
@@ -233,27 +233,27 @@
             } else {
                 engine.expected_wait(now)
             },
-            worth: cost::worth_of(call.standing.slack(now)),
+            urgency: cost::urgency(call.standing.slack(now)),
         });
         options.collect()
     }
 
     fn cost_ms(&self, now: Duration, call: &WaitingCall, engine: &Engine) -> f64 {
-        let usual_decode_ms = call.expected_tokens * self.pace.token_ms();
+        let usual_decode_ms = call.expected_tokens * self.speed.token_ms();
         let usual = Duration::from_secs_f64(usual_decode_ms / 1000.0);
-        let slowness = engine.pace.slowness(&self.pace) * engine.overdue(now, usual);
-        let unread = engine.held.unread_tokens(&call.demand.parts);
-        let expected = cost::expected_ms(&Prospect {
-            read_ms: self.pace.read_ms(unread) * slowness,
-            decode_ms: usual_decode_ms * slowness,
+        let slowdown = engine.speed.slowdown(&self.speed) * engine.overdue(now, usual);
+        let uncached = engine.prompt_cache.uncached_tokens(&call.demand.parts);
+        let expected = cost::expected_cost_ms(&CostInputs {
+            prefill_ms: self.speed.prefill_ms(uncached) * slowdown,
+            decode_ms: usual_decode_ms * slowdown,
             running: engine.running() as u32,
-            is_near: engine.listing.zone == call.demand.zone,
+            is_same_zone: engine.listing.zone == call.demand.zone,
             failure_rate: engine.health.failure_rate(now),
-            worth: cost::worth_of(call.standing.slack(now)),
+            urgency: cost::urgency(call.standing.slack(now)),
         });
         let salt = call.demand.parts.first();
         let salt = salt.map_or(call.demand.number, |part| part.id);
-        expected + cost::preference_ms(engine.listing.key, salt)
+        expected + cost::tie_break_ms(engine.listing.key, salt)
     }
 
     /// Gives free places to the calls that wait.
@@ -340,7 +340,7 @@
             return;
         };
         engine.begin(ticket, now + expected);
-        engine.held.note_used(&call.demand.parts, 0);
+        engine.prompt_cache.record_use(&call.demand.parts, 0);
         let granted = GrantedCall {
             engine: key,
             granted_at: now,
@@ -356,9 +356,10 @@
         let Some(engine) = self.engines.get(key) else {
             return Duration::ZERO;
         };
-        let slowness = engine.pace.slowness(&self.pace);
-        let work = call.expected_tokens * self.pace.token_ms() + self.pace.read_ms(unread_tokens);
-        Duration::from_secs_f64(work * slowness / 1000.0)
+        let slowdown = engine.speed.slowdown(&self.speed);
+        let work =
+            call.expected_tokens * self.speed.token_ms() + self.speed.prefill_ms(unread_tokens);
+        Duration::from_secs_f64(work * slowdown / 1000.0)
     }
 
     fn end(&mut self, now: Duration, ticket: Ticket, granted: &GrantedCall, end: CallEnd) {
@@ -374,16 +375,16 @@
                 took_ms,
             } => {
                 engine.health.record_success(now);
-                let times = AnswerTimes {
-                    unread_tokens: granted.unread_tokens,
+                let timing = AnswerTiming {
+                    uncached_tokens: granted.unread_tokens,
                     generated,
-                    first_tokens,
-                    first_part_ms: f64::from(first_part_ms),
-                    took_ms: f64::from(took_ms),
+                    first_chunk_tokens: first_tokens,
+                    first_chunk_ms: f64::from(first_part_ms),
+                    total_ms: f64::from(took_ms),
                 };
-                engine.pace.note(&mut self.pace, &times);
+                engine.speed.record(&mut self.speed, &timing);
                 if let Some(demand) = &granted.demand {
-                    engine.held.note_used(&demand.parts, generated);
+                    engine.prompt_cache.record_use(&demand.parts, generated);
                     self.programs.note_answer(demand.route, generated);
                 }
             }
@@ -452,7 +453,7 @@
 
     fn is_hopeless(&self, now: Duration, call: &WaitingCall) -> bool {
         let left = call.deadline.saturating_sub(now).as_secs_f64() * 1000.0;
-        let needed = call.expected_tokens * self.pace.token_ms();
+        let needed = call.expected_tokens * self.speed.token_ms();
         left < NEEDED_PART * needed
     }
 
@@ -489,7 +490,9 @@
         let slack = call.standing.slack(now).unwrap_or(0.0);
         DecisionInputs {
             calls: engine.map_or(0, |engine| engine.running() as u32),
-            unread_tokens: engine.map_or(0, |engine| engine.held.unread_tokens(&call.demand.parts)),
+            unread_tokens: engine.map_or(0, |engine| {
+                engine.prompt_cache.uncached_tokens(&call.demand.parts)
+            }),
             waited_ms: now.saturating_sub(call.asked_at).as_millis() as u32,
             waiting: self.calls.waiting.len() as u32,
             slack_percent: (slack * 100.0) as u32,
@@ -516,12 +519,12 @@
     engine: ServerKey,
     cost_ms: f64,
     wait: Duration,
-    worth: f64,
+    urgency: f64,
 }
 
 impl PlaceOption {
     fn total_ms(&self) -> f64 {
-        self.cost_ms + self.worth * self.wait.as_secs_f64() * 1000.0
+        self.cost_ms + self.urgency * self.wait.as_secs_f64() * 1000.0
     }
 
     fn plan(&self, now: Duration, until: Duration) -> Plan {
@@ -538,7 +541,7 @@
     /// What a call that waits for its place is expected to cost from now on.
     fn total_ms(&self, now: Duration, call: &WaitingCall) -> f64 {
         let wait = self.free_at.saturating_sub(now).as_secs_f64() * 1000.0;
-        self.cost_ms + cost::worth_of(call.standing.slack(now)) * wait
+        self.cost_ms + cost::urgency(call.standing.slack(now)) * wait
     }
 }
 
