--- a/crates/courseshed-pool/src/calls.rs
+++ b/crates/courseshed-pool/src/calls.rs
@@ -1,54 +1,54 @@
-//! The calls that a scheduler knows: those that wait, and those at engines.
+//! Calls known to the scheduler: waiting and granted.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
 use courseshed_types::{NodeId, ServerKey};
 
-use crate::programs::Standing;
+use crate::programs::ProgramProgress;
 use crate::{CallDemand, Ticket};
 
-/// Where a call waits rather than go elsewhere at once, and what that was expected to cost.
+/// A decision to wait for an engine that is at capacity, with its expected cost.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Plan {
+pub(crate) struct PlannedWait {
     pub engine: ServerKey,
-    /// Its cost there in milliseconds, beside the wait.
+    /// Expected cost on the engine in milliseconds, excluding the wait.
     pub cost_ms: f64,
-    /// When a place is expected to be free.
+    /// When the engine is expected to have capacity.
     pub free_at: Duration,
-    /// Until when it waits for it.
+    /// When the decision to wait expires.
     pub until: Duration,
 }
 
-/// A call that waits.
+/// A call that waits for an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct WaitingCall {
     pub demand: CallDemand,
-    pub standing: Standing,
-    /// When its gateway got it.
+    pub progress: ProgramProgress,
+    /// When the gateway received the call.
     pub arrived: Duration,
-    /// When the scheduler heard of it.
+    /// When the gateway first asked for an engine.
     pub asked_at: Duration,
-    /// When its gateway asked for it last.
-    pub heard_at: Duration,
-    /// When its caller stops waiting.
+    /// When the gateway last asked for an engine.
+    pub last_asked_at: Duration,
+    /// When the caller stops waiting.
     pub deadline: Duration,
     pub expected_tokens: f64,
-    pub plan: Option<Plan>,
-    /// The least that it would have cost at any engine when it came, in milliseconds, had that a place.
-    pub least_cost_ms: f64,
+    pub planned_wait: Option<PlannedWait>,
+    /// Lowest cost over all engines when the call arrived, excluding waits, in milliseconds.
+    pub min_cost_ms: f64,
 }
 
-/// A call at an engine.
+/// A call that was granted an engine.
 #[derive(Clone, Debug)]
 pub(crate) struct GrantedCall {
     pub engine: ServerKey,
     pub granted_at: Duration,
-    /// When nothing more is expected of it.
-    pub forgotten_at: Duration,
-    /// What it asked for; none if another scheduler granted it.
+    /// When the call is dropped if its end is not reported.
+    pub expires_at: Duration,
+    /// The request; none if the grant was learned from a gateway.
     pub demand: Option<CallDemand>,
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
 }
 
 /// All calls of a pool.
@@ -59,8 +59,8 @@
 }
 
 impl Calls {
-    /// The tickets of a gateway's granted calls.
-    pub(crate) fn granted_of(&self, gateway: NodeId) -> Vec<Ticket> {
+    /// Tickets of a gateway's granted calls.
+    pub(crate) fn granted_by(&self, gateway: NodeId) -> Vec<Ticket> {
         let first = Ticket { gateway, number: 0 };
         let last = Ticket {
             gateway,
--- a/crates/courseshed-pool/src/engines.rs
+++ b/crates/courseshed-pool/src/engines.rs
@@ -1,4 +1,4 @@
-//! The engines of a pool, with the calls that each was given.
+//! Engines of a pool and the calls granted to each.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,9 +10,9 @@
 use crate::speed::EngineSpeed;
 use crate::{EngineListing, Ticket};
 
-/// Calls sent ahead of an engine's places, as a part of them: a place is free for the way of the news and of the next
-/// call, some 5 ms of a call's 300, unless the next one is there already.
-const SENT_AHEAD: f64 = 0.1;
+/// Calls granted beyond the slots, as a fraction of them. Keeps slots busy while the end of a call
+/// and the next grant are in transit.
+const OVERCOMMIT_FRACTION: f64 = 0.1;
 
 /// One engine.
 #[derive(Clone, Debug)]
@@ -21,10 +21,10 @@
     pub speed: EngineSpeed,
     pub health: Health,
     pub prompt_cache: PromptCache,
-    /// Calls there, with the times when they are expected to end.
+    /// Granted calls with their expected end times.
     running: BTreeMap<Ticket, Duration>,
-    /// Calls that wait for a place here rather than go elsewhere.
-    pub awaited: usize,
+    /// Calls with a planned wait for this engine.
+    pub planned_waiters: usize,
 }
 
 impl Engine {
@@ -37,35 +37,36 @@
             health: Health::default(),
             prompt_cache,
             running: BTreeMap::new(),
-            awaited: 0,
+            planned_waiters: 0,
         }
     }
 
-    /// Calls there.
+    /// Number of granted calls.
     pub(crate) fn running(&self) -> usize {
         self.running.len()
     }
 
-    /// Calls that may be there at once.
-    fn places(&self) -> usize {
+    /// Number of calls that may be granted at once.
+    fn capacity(&self) -> usize {
         let slots = self.listing.slots.max(1);
-        (f64::from(slots) * (1.0 + SENT_AHEAD)).ceil() as usize
+        (f64::from(slots) * (1.0 + OVERCOMMIT_FRACTION)).ceil() as usize
     }
 
-    /// Whether it may be given calls, now or once a place is free.
-    pub(crate) fn takes_calls(&self, now: Duration) -> bool {
+    /// Whether calls may be granted, now or once there is capacity.
+    pub(crate) fn accepts_calls(&self, now: Duration) -> bool {
         self.listing.is_ready && self.health.allows_call(now, self.running.len())
     }
 
-    /// Whether it may be given a call now.
-    pub(crate) fn has_place(&self, now: Duration) -> bool {
-        self.takes_calls(now) && self.running.len() < self.places()
+    /// Whether a call may be granted now.
+    pub(crate) fn has_capacity(&self, now: Duration) -> bool {
+        self.accepts_calls(now) && self.running.len() < self.capacity()
     }
 
-    /// How long the next call that waits here is likely to wait, behind those that do already.
+    /// Expected wait of the next call, behind those that already wait for this engine.
     pub(crate) fn expected_wait(&self, now: Duration) -> Duration {
-        let before = self.awaited + (self.running.len() + 1).saturating_sub(self.places());
-        if before == 0 {
+        let calls_ahead =
+            self.planned_waiters + (self.running.len() + 1).saturating_sub(self.capacity());
+        if calls_ahead == 0 {
             return Duration::ZERO;
         }
         let mut ends: Vec<Duration> = self.running.values().copied().collect();
@@ -73,33 +74,34 @@
         let Some(last) = ends.len().checked_sub(1) else {
             return Duration::ZERO;
         };
-        let end = ends[(before - 1).min(last)];
-        // A call that is overdue ends at any time, or tells of an engine that has become slow.
-        end.saturating_sub(now).max(OVERDUE_WAIT)
+        let end = ends[(calls_ahead - 1).min(last)];
+        // An overdue call may end at any time, or the engine has become slow.
+        end.saturating_sub(now).max(MIN_EXPECTED_WAIT)
     }
 
-    pub(crate) fn begin(&mut self, ticket: Ticket, ends: Duration) {
-        self.running.insert(ticket, ends);
+    pub(crate) fn start_call(&mut self, ticket: Ticket, expected_end: Duration) {
+        self.running.insert(ticket, expected_end);
     }
 
-    pub(crate) fn end(&mut self, ticket: &Ticket) {
+    pub(crate) fn end_call(&mut self, ticket: &Ticket) {
         self.running.remove(ticket);
     }
 
-    /// By how much its calls are overdue against the time that they were expected to take, as a factor; 1 if none is.
-    pub(crate) fn overdue(&self, now: Duration, usual: Duration) -> f64 {
+    /// Lateness of the most overdue call, relative to the usual duration, plus 1; 1 if none is
+    /// overdue.
+    pub(crate) fn overdue_factor(&self, now: Duration, usual: Duration) -> f64 {
         let Some(first) = self.running.values().min() else {
             return 1.0;
         };
         let late = now.saturating_sub(*first).as_secs_f64();
-        1.0 + late / usual.as_secs_f64().max(MIN_USUAL_S)
+        1.0 + late / usual.as_secs_f64().max(MIN_USUAL_DURATION_S)
     }
 }
 
-/// Least wait assumed of an engine whose places are taken.
-const OVERDUE_WAIT: Duration = Duration::from_millis(5);
-/// Shortest usual time of a call, in seconds, against which lateness is measured.
-const MIN_USUAL_S: f64 = 0.05;
+/// Lower bound of the expected wait for an engine at capacity.
+const MIN_EXPECTED_WAIT: Duration = Duration::from_millis(5);
+/// Lower bound of the usual call duration that lateness is measured against, in seconds.
+const MIN_USUAL_DURATION_S: f64 = 0.05;
 
 /// All engines of a pool.
 #[derive(Clone, Debug, Default)]
@@ -108,8 +110,8 @@
 }
 
 impl Engines {
-    /// Takes in the whole list. What is known of engines that stay is kept, and of those that left with calls: one that
-    /// comes back still has them.
+    /// Replaces the list. State is kept for engines that stay, and for removed engines with granted
+    /// calls, which may be listed again.
     pub(crate) fn replace(&mut self, listings: &[EngineListing]) {
         let mut known = std::mem::take(&mut self.by_key);
         for listing in listings {
--- a/crates/courseshed-pool/src/lib.rs
+++ b/crates/courseshed-pool/src/lib.rs
@@ -1,8 +1,9 @@
-//! The scheduler of a pool of engines: whose next call runs, on which engine, and who waits.
+//! Scheduler of a pool of inference engines: which call runs next, on which engine, and which calls
+//! wait.
 //!
-//! One [`PoolScheduler`] decides for the engines of one service, for the calls of all gateways. It is free of I/O and
-//! deterministic: times are passed in. Its state is soft: a scheduler that starts learns the calls under way from
-//! the gateways that have them, and the rest from what it sees.
+//! One [`PoolScheduler`] decides for the engines of one service and the calls of all gateways. It
+//! does no I/O and is deterministic; the time is a parameter. Its state is soft: a new scheduler
+//! learns the running calls from the gateways and rebuilds its estimates from observations.
 
 mod calls;
 mod cost;
--- a/crates/courseshed-pool/src/message.rs
+++ b/crates/courseshed-pool/src/message.rs
@@ -1,161 +1,163 @@
-//! What gateways and the scheduler of a pool say to each other about calls.
+//! Messages between gateways and the scheduler of a pool.
 
 use courseshed_types::{CachedPrompt, NodeId, PromptPart, ServerKey};
 use serde::{Deserialize, Serialize};
 
-/// Names a call at the scheduler of its pool: each gateway counts its own.
+/// Identifies a call at the scheduler of its pool. Numbers are assigned by the gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Ticket {
-    /// The gateway that has the call.
+    /// The gateway that handles the call.
     pub gateway: NodeId,
-    /// Never used twice by one life of the gateway, nor by a later one.
+    /// Unique among all calls of the gateway, across restarts.
     pub number: u64,
 }
 
-/// Names a program, a route, a tenant or a zone in few bytes: a hash of its name.
+/// Hash of the name of a program, route, tenant or zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct NameKey(pub u64);
 
-/// What a call says of the program that it is a turn of.
+/// Context of a call that is a turn of a program.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ProgramStanding {
     /// The program.
     pub program: NameKey,
-    /// Time until the program should be over, in milliseconds; none if it doesn't say.
+    /// Time until the program's target time, in milliseconds; none without a target.
     pub left_ms: Option<u32>,
-    /// How many turns of the largest size the budget of the program holds; none without a budget.
+    /// Number of turns of maximum size that the program's budget covers; none without a budget.
     pub turns_budgeted: Option<f32>,
 }
 
-/// A call that wants an engine.
+/// A request for an engine for one call.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CallDemand {
-    /// Its ticket's number.
+    /// Number of the call's ticket.
     pub number: u64,
-    /// The route that it came by.
+    /// The call's route.
     pub route: NameKey,
-    /// Rank of its tenant, else of its route; 0 is served first.
+    /// Rank of the tenant if it has one, else of the route; 0 is the most urgent.
     pub rank: u32,
-    /// The tenant that it is made for; none where calls need no key.
+    /// The tenant; none where calls need no key.
     pub tenant: Option<NameKey>,
-    /// The tenant's part of the pool against other tenants' while room is short: its rate where requests are limited,
-    /// else 1.
+    /// Weight of the tenant's fair share under contention: its request rate if limited, else 1.
     pub tenant_weight: f32,
-    /// The program that it is a turn of; none for a single call.
+    /// The program that the call is a turn of; none for a single call.
     pub program: Option<ProgramStanding>,
-    /// The zone of its gateway.
+    /// Zone of the gateway.
     pub zone: NameKey,
-    /// The prompt, in the order in which engines read it; empty if it doesn't matter.
+    /// Parts of the prompt, in prefill order; empty if cached prompts don't matter.
     pub parts: Vec<PromptPart>,
-    /// Most tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub most_tokens: u32,
-    /// How long the gateway has had it, in milliseconds.
+    /// Time since the gateway received the call, in milliseconds.
     pub waited_ms: u32,
-    /// How long its caller will still wait, in milliseconds.
+    /// Time until the call's deadline, in milliseconds.
     pub time_left_ms: u32,
-    /// Engines that must not get it (again).
+    /// Engines that must not be granted, for example because an earlier attempt failed there.
     pub excluded: Vec<ServerKey>,
-    /// What the gateway knows of where its prompt is held, of use to a scheduler that has just started.
+    /// Cached copies of the prompt that the gateway knows of; used by a scheduler that has just
+    /// started.
     pub held: Vec<CachedPrompt>,
 }
 
-/// What the scheduler says to a call.
+/// Answer of the scheduler to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Verdict {
-    /// It goes to this engine, now.
+    /// Send the call to this engine now.
     Granted(ServerKey),
-    /// No engine has room for it; the gateway asks again at once, and the call keeps its place.
+    /// No engine has capacity. The gateway repeats the request, and the call keeps its queue
+    /// position.
     Waiting,
-    /// It won't be served in the time that it has; nothing was sent anywhere.
+    /// The call can't be served before its deadline; it was not sent to any engine.
     Refused {
-        /// When its caller may come back with a chance, in milliseconds.
+        /// Suggested delay before a retry, in milliseconds.
         retry_after_ms: u32,
     },
-    /// The pool has no engine that may take it.
+    /// The pool has no engine that may run the call.
     NoEngine,
 }
 
-/// What became of a call that was granted an engine, or that waited.
+/// How a granted or waiting call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallEnd {
-    /// The answer is whole.
+    /// The answer was completed.
     Whole {
         /// Tokens generated by this engine.
         generated: u32,
-        /// Tokens that the first part brought.
+        /// Tokens in the first chunk of the answer.
         first_tokens: u32,
-        /// From the send to the first part of the answer, in milliseconds.
+        /// Time from the send to the first chunk of the answer, in milliseconds.
         first_part_ms: u32,
-        /// From the send to the end of the answer, in milliseconds.
+        /// Time from the send to the end of the answer, in milliseconds.
         took_ms: u32,
     },
-    /// The engine answered that it failed (a 5xx of its own).
+    /// The engine answered with a server error (5xx).
     Failed,
-    /// The engine was full or refused without running it.
+    /// The engine rejected the call without running it, for example because it was full.
     Refused,
-    /// The engine could not be reached, or broke off.
+    /// The engine was unreachable or dropped the connection.
     Broken,
-    /// The caller left, the call ran out of time, or it was never sent: nothing is known of the engine.
+    /// The caller disconnected, the deadline passed, or the call was never sent; says nothing about
+    /// the engine.
     Given,
 }
 
-/// A note of a gateway about one of its calls.
+/// A gateway's report on the end of one call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallNote {
-    /// The call's number.
+    /// Number of the call's ticket.
     pub number: u64,
-    /// What became of it.
+    /// How the call ended.
     pub end: CallEnd,
 }
 
-/// A call that a gateway has at an engine, told to a scheduler that doesn't know it.
+/// A call running on an engine, reported by its gateway to a scheduler that may not know it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RunningCall {
-    /// The call's number.
+    /// Number of the call's ticket.
     pub number: u64,
-    /// Where it runs.
+    /// The engine that runs it.
     pub engine: ServerKey,
-    /// Since when, in milliseconds before now.
+    /// Time since it was sent, in milliseconds.
     pub for_ms: u32,
 }
 
-/// One engine of the pool, as the list of servers and the routing table have it.
+/// One engine of the pool, from the server list and the routing table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct EngineListing {
-    /// The engine, in one of its lives.
+    /// The engine; a restarted engine has another key.
     pub key: ServerKey,
-    /// Where it stands.
+    /// Zone of the engine.
     pub zone: NameKey,
-    /// Calls that it runs at once.
+    /// Number of calls that it runs concurrently.
     pub slots: u32,
-    /// Tokens of prompts and answers that its memory holds; none if that isn't known.
+    /// Memory for prompts and answers, in tokens; none if unknown.
     pub memory_tokens: Option<u64>,
-    /// Whether it takes new calls.
+    /// Whether it accepts new calls.
     pub is_ready: bool,
 }
 
-/// A verdict about a call.
+/// A decision on a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Decision {
     /// The call.
     pub ticket: Ticket,
-    /// What is decided; never [`Verdict::Waiting`], which is what a call is told that has no decision.
+    /// The verdict; never [`Verdict::Waiting`], which stands for the absence of a decision.
     pub verdict: Verdict,
-    /// What decided it.
+    /// What the decision was based on.
     pub inputs: DecisionInputs,
 }
 
-/// What decided a verdict, for the log.
+/// Inputs of a decision, for the log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DecisionInputs {
-    /// Calls at the engine before this one.
+    /// Number of calls on the engine before this one.
     pub calls: u32,
-    /// Tokens of the prompt that the engine has still to read.
+    /// Prompt tokens that the engine must prefill.
     pub unread_tokens: u32,
-    /// How long the call waited at the scheduler, in milliseconds.
+    /// Queueing time of the call at the scheduler, in milliseconds.
     pub waited_ms: u32,
-    /// Calls that waited when it was decided.
+    /// Number of waiting calls.
     pub waiting: u32,
-    /// What the program's time left is of the time that its rest is expected to take, in percent; 0 if unknown.
+    /// Program's time left relative to the estimated time needed, in percent; 0 if unknown.
     pub slack_percent: u32,
 }
--- a/crates/courseshed-pool/src/order.rs
+++ b/crates/courseshed-pool/src/order.rs
@@ -8,7 +8,7 @@
 
 use std::time::Duration;
 
-use crate::programs::Standing;
+use crate::programs::ProgramProgress;
 
 /// Delay per step of rank, in milliseconds. About the queueing time of a turn in a busy pool:
 /// urgent calls pass others, and no rank is starved.
@@ -33,18 +33,18 @@
 pub(crate) struct QueueEntry<'a> {
     pub arrived: Duration,
     pub rank: u32,
-    pub standing: &'a Standing,
+    pub progress: &'a ProgramProgress,
     /// Delay of a tenant that is above its share, in milliseconds.
     pub share_delay_ms: f64,
 }
 
 /// Effective arrival time in milliseconds; the earliest is served first.
 pub(crate) fn effective_arrival_ms(entry: &QueueEntry, now: Duration) -> f64 {
-    let standing = entry.standing;
-    let spare = standing.spare_ms(now).unwrap_or(0.0);
+    let progress = entry.progress;
+    let spare = progress.spare_ms(now).unwrap_or(0.0);
     let spare = spare.clamp(0.0, MAX_SPARE_DELAY_MS);
     let rank_delay = RANK_DELAY_MS * f64::from(entry.rank.min(MAX_RANK));
-    let first_turn_delay = if standing.is_first {
+    let first_turn_delay = if progress.is_first {
         FIRST_TURN_DELAY_MS
     } else {
         0.0
@@ -60,7 +60,7 @@
 
 /// Delay of a call whose program can no longer meet its target time.
 fn late_delay_ms(entry: &QueueEntry, now: Duration) -> f64 {
-    match entry.standing.slack(now) {
+    match entry.progress.slack(now) {
         Some(slack) if slack < LATE_SLACK => LATE_DELAY_MS,
         _ => 0.0,
     }
