--- a/crates/courseshed-pool/src/scheduler.rs
+++ b/crates/courseshed-pool/src/scheduler.rs
@@ -53,7 +53,7 @@
     speed: PoolSpeed,
     /// Number of refusals, from which the retry jitter is derived.
     refusals: u64,
-    expired_at: Duration,
+    programs_expired_at: Duration,
     decisions: Vec<Decision>,
 }
 
@@ -140,8 +140,8 @@
         self.expire_calls(now);
         self.refuse_unservable(now);
         self.assign_free_slots(now);
-        if now.saturating_sub(self.expired_at) >= EXPIRY_INTERVAL {
-            self.expired_at = now;
+        if now.saturating_sub(self.programs_expired_at) >= EXPIRY_INTERVAL {
+            self.programs_expired_at = now;
             self.programs.expire(now);
         }
     }
--- a/crates/courseshed-pool/tests/invariants.rs
+++ b/crates/courseshed-pool/tests/invariants.rs
@@ -1,4 +1,4 @@
-//! What must hold whatever gateways ask, note and go through, and whatever becomes of the engines.
+//! Scheduler invariants under random requests, reports, gateway outages and engine changes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -14,51 +14,51 @@
 use rand_chacha::ChaCha8Rng;
 use yare::parameterized;
 
-/// Calls that an engine may be granted beyond its slots.
-const BEYOND_SLOTS: usize = 2;
-/// How long after its deadline a call that is asked for again and again may be without a decision.
-const GRACE_MS: u64 = 500;
+/// Number of calls that an engine may be granted beyond its slots.
+const MAX_CALLS_BEYOND_SLOTS: usize = 2;
+/// How long after its deadline a repeatedly requested call may lack a decision.
+const DECISION_GRACE_MS: u64 = 500;
 const ASK_AGAIN_MS: u64 = 150;
-/// How long a call may be granted after its gateway asked for it last.
-const DROPPED_LIFE_MS: u64 = 1_000;
+/// How long after the last request a call may still be granted.
+const ABANDONED_CALL_TIMEOUT_MS: u64 = 1_000;
 const GATEWAYS: u32 = 4;
 
-struct Waiting {
+struct WaitingCall {
     demand: CallDemand,
     since_ms: u64,
     deadline_ms: u64,
     asked_ms: u64,
 }
 
-/// Gateways and engines that do what chance says, and check each decision.
-struct Chance {
-    /// Whether engines that were off the list come back with what ran there, rather than in a new life.
-    is_life_kept: bool,
-    lives: [u32; 6],
+/// Random gateways and engines, and checks of each decision.
+struct RandomDriver {
+    /// Whether engines that are listed again kept their calls; otherwise they were restarted.
+    keeps_calls: bool,
+    restarts: [u32; 6],
     random: ChaCha8Rng,
     now: u64,
     scheduler: PoolScheduler,
     engines: Vec<EngineListing>,
-    waiting: BTreeMap<Ticket, Waiting>,
+    waiting: BTreeMap<Ticket, WaitingCall>,
     granted: BTreeMap<Ticket, ServerKey>,
-    /// When callers of granted calls stop waiting, which ends the calls.
+    /// Deadlines of granted calls, at which their callers end them.
     deadlines: BTreeMap<Ticket, u64>,
-    /// Calls that the scheduler was told of by a gateway that came back.
-    told: BTreeMap<Ticket, ServerKey>,
+    /// Running calls that a reconnected gateway reported.
+    reported: BTreeMap<Ticket, ServerKey>,
     decided: BTreeSet<Ticket>,
-    /// Calls that waited when their gateway fell silent, and that it knows no more.
-    dropped: BTreeMap<Ticket, Waiting>,
+    /// Calls that waited when their gateway went silent, and that it has abandoned.
+    abandoned: BTreeMap<Ticket, WaitingCall>,
     silent_until: BTreeMap<NodeId, u64>,
-    numbers: u64,
+    last_number: u64,
     counts: BTreeMap<&'static str, u64>,
-    most_beyond_slots: usize,
+    max_beyond_slots: usize,
 }
 
-impl Chance {
-    fn new(seed: u64, is_life_kept: bool) -> Self {
-        let mut chance = Self {
-            is_life_kept,
-            lives: [0; 6],
+impl RandomDriver {
+    fn new(seed: u64, keeps_calls: bool) -> Self {
+        let mut driver = Self {
+            keeps_calls,
+            restarts: [0; 6],
             random: ChaCha8Rng::seed_from_u64(seed),
             now: 1_000,
             scheduler: PoolScheduler::new(),
@@ -66,28 +66,28 @@
             waiting: BTreeMap::new(),
             granted: BTreeMap::new(),
             deadlines: BTreeMap::new(),
-            told: BTreeMap::new(),
+            reported: BTreeMap::new(),
             decided: BTreeSet::new(),
-            dropped: BTreeMap::new(),
+            abandoned: BTreeMap::new(),
             silent_until: BTreeMap::new(),
-            numbers: 0,
+            last_number: 0,
             counts: BTreeMap::new(),
-            most_beyond_slots: 0,
+            max_beyond_slots: 0,
         };
-        chance.change_engines();
-        chance
+        driver.change_engines();
+        driver
     }
 
     fn clock(&self) -> Duration {
         Duration::from_millis(self.now)
     }
 
-    fn below(&mut self, bound: u64) -> u64 {
+    fn random_below(&mut self, bound: u64) -> u64 {
         self.random.random_range(0..bound)
     }
 
     fn pick(&mut self, tickets: Vec<Ticket>) -> Option<Ticket> {
-        let place = self.below(tickets.len().max(1) as u64) as usize;
+        let place = self.random_below(tickets.len().max(1) as u64) as usize;
         tickets.get(place).copied()
     }
 
@@ -95,73 +95,75 @@
         self.silent_until.contains_key(&gateway)
     }
 
-    fn heard(&self, tickets: impl Iterator<Item = Ticket>) -> Vec<Ticket> {
+    fn reachable(&self, tickets: impl Iterator<Item = Ticket>) -> Vec<Ticket> {
         tickets
             .filter(|ticket| !self.is_silent(ticket.gateway))
             .collect()
     }
 
-    /// Another list of engines: some new, some gone, some not ready, some with other slots.
+    /// Replaces the engine list: engines are added, removed, not ready, or have other slots.
     fn change_engines(&mut self) {
         self.engines.clear();
         for place in 0..6 {
-            if self.below(5) > 0 {
+            if self.random_below(5) > 0 {
                 let engine = EngineListing {
-                    key: ServerKey(place + 6 * self.lives[place as usize]),
-                    zone: NameKey(self.below(2)),
-                    slots: self.below(5) as u32,
-                    memory_tokens: (self.below(3) > 0).then_some(50_000),
-                    is_ready: self.below(5) > 0,
+                    key: ServerKey(place + 6 * self.restarts[place as usize]),
+                    zone: NameKey(self.random_below(2)),
+                    slots: self.random_below(5) as u32,
+                    memory_tokens: (self.random_below(3) > 0).then_some(50_000),
+                    is_ready: self.random_below(5) > 0,
                 };
                 self.engines.push(engine);
-            } else if !self.is_life_kept {
-                self.lives[place as usize] += 1;
+            } else if !self.keeps_calls {
+                self.restarts[place as usize] += 1;
             }
         }
         self.scheduler.set_engines(self.clock(), &self.engines);
     }
 
-    fn any_engine(&mut self) -> ServerKey {
-        let place = self.below(6) as usize;
-        ServerKey(place as u32 + 6 * self.lives[place])
+    fn random_engine(&mut self) -> ServerKey {
+        let place = self.random_below(6) as usize;
+        ServerKey(place as u32 + 6 * self.restarts[place])
     }
 
     fn demand(&mut self) -> CallDemand {
-        self.numbers += 1;
-        let program = NameKey(self.numbers / 3);
-        let parts = (0..self.below(4))
+        self.last_number += 1;
+        let program = NameKey(self.last_number / 3);
+        let parts = (0..self.random_below(4))
             .map(|_| PromptPart {
-                id: self.below(200),
-                tokens: self.below(20_000) as u32,
+                id: self.random_below(200),
+                tokens: self.random_below(20_000) as u32,
             })
             .collect::<Vec<_>>();
-        let key = self.any_engine();
+        let key = self.random_engine();
         CallDemand {
-            number: self.numbers,
-            route: NameKey(self.below(3)),
-            rank: self.below(3) as u32,
-            tenant: (self.below(3) > 0).then_some(NameKey(self.below(5))),
-            tenant_weight: 1.0 + self.below(3) as f32,
-            program: (self.below(3) > 0).then_some(ProgramStanding {
+            number: self.last_number,
+            route: NameKey(self.random_below(3)),
+            rank: self.random_below(3) as u32,
+            tenant: (self.random_below(3) > 0).then_some(NameKey(self.random_below(5))),
+            tenant_weight: 1.0 + self.random_below(3) as f32,
+            program: (self.random_below(3) > 0).then_some(ProgramStanding {
                 program,
-                left_ms: (self.below(3) > 0).then_some(self.below(20_000) as u32),
-                turns_budgeted: (self.below(2) > 0).then_some(self.below(30) as f32),
+                left_ms: (self.random_below(3) > 0).then_some(self.random_below(20_000) as u32),
+                turns_budgeted: (self.random_below(2) > 0).then_some(self.random_below(30) as f32),
             }),
-            zone: NameKey(self.below(2)),
+            zone: NameKey(self.random_below(2)),
             held: vec![CachedPrompt {
                 server: key,
                 parts: parts.clone(),
             }],
             parts,
-            most_tokens: self.below(2_000) as u32,
-            waited_ms: self.below(100) as u32,
-            time_left_ms: self.below(4_000) as u32,
-            excluded: (0..self.below(3)).map(|_| self.any_engine()).collect(),
+            most_tokens: self.random_below(2_000) as u32,
+            waited_ms: self.random_below(100) as u32,
+            time_left_ms: self.random_below(4_000) as u32,
+            excluded: (0..self.random_below(3))
+                .map(|_| self.random_engine())
+                .collect(),
         }
     }
 
     fn ask(&mut self) {
-        let gateway = NodeId(self.below(u64::from(GATEWAYS)) as u32);
+        let gateway = NodeId(self.random_below(u64::from(GATEWAYS)) as u32);
         if self.is_silent(gateway) {
             return;
         }
@@ -170,7 +172,7 @@
             gateway,
             number: demand.number,
         };
-        let waiting = Waiting {
+        let waiting = WaitingCall {
             since_ms: self.now - u64::from(demand.waited_ms),
             deadline_ms: self.now + u64::from(demand.time_left_ms),
             asked_ms: self.now,
@@ -180,7 +182,7 @@
         self.scheduler.ask(self.clock(), gateway, demand);
     }
 
-    /// Every call without a decision is asked for again in time, unless its gateway is silent.
+    /// Repeats the requests for undecided calls, except those of silent gateways.
     fn ask_again(&mut self) {
         let clock = self.clock();
         for (ticket, waiting) in &mut self.waiting {
@@ -195,7 +197,7 @@
         }
     }
 
-    fn note(&mut self, ticket: Ticket, end: CallEnd) {
+    fn report_end(&mut self, ticket: Ticket, end: CallEnd) {
         let note = CallNote {
             number: ticket.number,
             end,
@@ -203,31 +205,31 @@
         self.scheduler.note(self.clock(), ticket.gateway, &[note]);
     }
 
-    fn end_a_call(&mut self) {
-        let under_way = self.granted.keys().chain(self.told.keys()).copied();
-        let Some(ticket) = self.pick(self.heard(under_way)) else {
+    fn end_random_call(&mut self) {
+        let running = self.granted.keys().chain(self.reported.keys()).copied();
+        let Some(ticket) = self.pick(self.reachable(running)) else {
             return;
         };
         self.granted.remove(&ticket);
-        self.told.remove(&ticket);
-        let took_ms = self.below(5_000) as u32;
-        let end = match self.below(12) {
+        self.reported.remove(&ticket);
+        let took_ms = self.random_below(5_000) as u32;
+        let end = match self.random_below(12) {
             0 => CallEnd::Failed,
             1 => CallEnd::Refused,
             2 => CallEnd::Broken,
             3 => CallEnd::Given,
             _ => CallEnd::Whole {
-                generated: self.below(2_000) as u32,
+                generated: self.random_below(2_000) as u32,
                 first_tokens: 1,
                 first_part_ms: took_ms / 4,
                 took_ms,
             },
         };
-        self.note(ticket, end);
+        self.report_end(ticket, end);
     }
 
-    /// Ends granted calls at the deadline of their callers.
-    fn end_late_calls(&mut self) {
+    /// Ends granted calls at their deadlines.
+    fn end_expired_calls(&mut self) {
         let now = self.now;
         let late = self
             .deadlines
@@ -235,14 +237,14 @@
         for ticket in late.map(|(ticket, _)| ticket).collect::<Vec<_>>() {
             let is_granted = self.granted.remove(&ticket).is_some();
             if is_granted && !self.is_silent(ticket.gateway) {
-                self.note(ticket, CallEnd::Given);
+                self.report_end(ticket, CallEnd::Given);
             }
         }
     }
 
-    /// A question that crosses a grant, or follows one that was lost, is answered with the same grant.
-    fn ask_for_a_granted_call(&mut self) {
-        let granted = self.heard(self.granted.keys().copied());
+    /// A repeated request for a granted call must be answered with the same grant.
+    fn repeat_granted_request(&mut self) {
+        let granted = self.reachable(self.granted.keys().copied());
         let Some(ticket) = self.pick(granted) else {
             return;
         };
@@ -257,60 +259,60 @@
             let is_same = decision.verdict == again;
             assert!(
                 decision.ticket == ticket && is_same,
-                "{decision:?}, was {again:?}"
+                "{decision:?}, expected {again:?}"
             );
         }
     }
 
-    fn withdraw_a_call(&mut self) {
-        let waiting = self.heard(self.waiting.keys().copied());
+    fn withdraw_random_call(&mut self) {
+        let waiting = self.reachable(self.waiting.keys().copied());
         if let Some(ticket) = self.pick(waiting) {
             self.waiting.remove(&ticket);
-            self.note(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Given);
         }
     }
 
-    /// A note about a call that the scheduler never heard of or knows to be over.
-    fn note_a_stranger(&mut self) {
-        let number = 1 + self.below(self.numbers + 1_000);
+    /// Reports the end of a call that the scheduler does not know or knows to have ended.
+    fn report_unknown_call(&mut self) {
+        let number = 1 + self.random_below(self.last_number + 1_000);
         let ticket = Ticket {
-            gateway: NodeId(self.below(u64::from(GATEWAYS)) as u32),
+            gateway: NodeId(self.random_below(u64::from(GATEWAYS)) as u32),
             number,
         };
         if !self.waiting.contains_key(&ticket) && !self.granted.contains_key(&ticket) {
-            self.told.remove(&ticket);
-            self.note(ticket, CallEnd::Broken);
+            self.reported.remove(&ticket);
+            self.report_end(ticket, CallEnd::Broken);
         }
     }
 
-    fn fall_silent(&mut self) {
-        let gateway = NodeId(self.below(u64::from(GATEWAYS)) as u32);
-        let until = self.now + 100 + self.below(30_000);
+    fn silence_gateway(&mut self) {
+        let gateway = NodeId(self.random_below(u64::from(GATEWAYS)) as u32);
+        let until = self.now + 100 + self.random_below(30_000);
         self.silent_until.entry(gateway).or_insert(until);
     }
 
-    /// Gateways that were silent tell what still runs; what they waited for is over.
-    fn come_back(&mut self) {
+    /// Reconnects gateways: they report the running calls and abandon the waiting ones.
+    fn reconnect_gateways(&mut self) {
         let is_back = |(gateway, until): (&NodeId, &u64)| (*until <= self.now).then_some(*gateway);
         let back: Vec<NodeId> = self.silent_until.iter().filter_map(is_back).collect();
         for gateway in back {
             self.silent_until.remove(&gateway);
-            let is_of = |ticket: &Ticket, _: &mut Waiting| ticket.gateway == gateway;
-            self.dropped.extend(self.waiting.extract_if(.., is_of));
-            self.tell_running(gateway);
+            let is_of = |ticket: &Ticket, _: &mut WaitingCall| ticket.gateway == gateway;
+            self.abandoned.extend(self.waiting.extract_if(.., is_of));
+            self.report_running(gateway);
         }
     }
 
-    fn tell_running(&mut self, gateway: NodeId) {
+    fn report_running(&mut self, gateway: NodeId) {
         let is_of = |ticket: &Ticket| ticket.gateway == gateway;
         let granted = self.granted.extract_if(.., |ticket, _| is_of(ticket));
-        self.told.extend(granted);
+        self.reported.extend(granted);
         let mut random = self.random.clone();
-        self.told
+        self.reported
             .retain(|ticket, _| !is_of(ticket) || random.random_range(0..3) > 0);
         self.random = random;
-        let told = self.told.iter().filter(|(ticket, _)| is_of(ticket));
-        let running = told.map(|(ticket, engine)| RunningCall {
+        let reported = self.reported.iter().filter(|(ticket, _)| is_of(ticket));
+        let running = reported.map(|(ticket, engine)| RunningCall {
             number: ticket.number,
             engine: *engine,
             for_ms: 500,
@@ -320,20 +322,20 @@
     }
 
     fn step(&mut self) {
-        self.now += self.below(12);
-        self.come_back();
-        self.end_late_calls();
+        self.now += self.random_below(12);
+        self.reconnect_gateways();
+        self.end_expired_calls();
         self.check();
         self.ask_again();
         self.check();
-        match self.below(1_000) {
+        match self.random_below(1_000) {
             0..350 => self.ask(),
-            350..650 => self.end_a_call(),
-            650..680 => self.withdraw_a_call(),
-            680..690 => self.note_a_stranger(),
+            350..650 => self.end_random_call(),
+            650..680 => self.withdraw_random_call(),
+            680..690 => self.report_unknown_call(),
             690..696 => self.change_engines(),
-            696..698 => self.fall_silent(),
-            698..710 => self.ask_for_a_granted_call(),
+            696..698 => self.silence_gateway(),
+            698..710 => self.repeat_granted_request(),
             _ => self.scheduler.tick(self.clock()),
         }
         self.check();
@@ -344,11 +346,11 @@
             self.check_decision(decision);
         }
         for (ticket, waiting) in &self.waiting {
-            let is_forgotten = self.now > waiting.deadline_ms + GRACE_MS;
+            let is_forgotten = self.now > waiting.deadline_ms + DECISION_GRACE_MS;
             let is_silent = self.silent_until.contains_key(&ticket.gateway);
             assert!(
                 is_silent || !is_forgotten,
-                "{ticket:?} has no decision: {:?}",
+                "{ticket:?} has no decision after its deadline: {:?}",
                 waiting.demand
             );
         }
@@ -356,18 +358,21 @@
 
     fn check_decision(&mut self, decision: Decision) {
         let ticket = decision.ticket;
-        assert!(self.decided.insert(ticket), "decided again: {decision:?}");
-        if let Some(dropped) = self.dropped.remove(&ticket) {
-            let since_ms = self.now - dropped.asked_ms;
+        assert!(
+            self.decided.insert(ticket),
+            "second decision for a call: {decision:?}"
+        );
+        if let Some(abandoned) = self.abandoned.remove(&ticket) {
+            let since_ms = self.now - abandoned.asked_ms;
             assert!(
-                since_ms < DROPPED_LIFE_MS,
-                "{decision:?}, not asked for {since_ms} ms"
+                since_ms < ABANDONED_CALL_TIMEOUT_MS,
+                "{decision:?}, last requested {since_ms} ms ago"
             );
-            self.note(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Given);
             return;
         }
         let waiting = self.waiting.remove(&ticket);
-        let waiting = waiting.unwrap_or_else(|| panic!("{decision:?} of a call that is over"));
+        let waiting = waiting.unwrap_or_else(|| panic!("{decision:?} for a call that has ended"));
         let name = match decision.verdict {
             Verdict::Granted(engine) => {
                 self.check_grant(ticket, engine, &waiting.demand);
@@ -379,7 +384,7 @@
                 self.check_no_engine(&waiting.demand);
                 "no engine"
             }
-            Verdict::Waiting => panic!("{decision:?} is no decision"),
+            Verdict::Waiting => panic!("{decision:?} is not a decision"),
         };
         *self.counts.entry(name).or_default() += 1;
     }
@@ -387,11 +392,14 @@
     fn check_grant(&mut self, ticket: Ticket, key: ServerKey, demand: &CallDemand) {
         let listing = self.engines.iter().find(|engine| engine.key == key);
         let listing =
-            listing.unwrap_or_else(|| panic!("{ticket:?} on {key:?}, which is not listed"));
-        assert!(listing.is_ready, "{ticket:?} on {listing:?}");
+            listing.unwrap_or_else(|| panic!("{ticket:?} granted unlisted engine {key:?}"));
+        assert!(
+            listing.is_ready,
+            "{ticket:?} granted engine that is not ready: {listing:?}"
+        );
         assert!(
             !demand.excluded.contains(&key),
-            "{ticket:?} on {key:?}, which it excludes"
+            "{ticket:?} granted excluded engine {key:?}"
         );
         let calls = self
             .granted
@@ -400,12 +408,10 @@
             .count();
         let slots = listing.slots as usize;
         assert!(
-            calls < slots + BEYOND_SLOTS,
-            "{ticket:?} beyond {calls} calls on {listing:?}"
+            calls < slots + MAX_CALLS_BEYOND_SLOTS,
+            "{ticket:?} granted while {calls} calls run on {listing:?}"
         );
-        self.most_beyond_slots = self
-            .most_beyond_slots
-            .max((calls + 1).saturating_sub(slots));
+        self.max_beyond_slots = self.max_beyond_slots.max((calls + 1).saturating_sub(slots));
         self.granted.insert(ticket, key);
     }
 
@@ -414,20 +420,23 @@
             engine.is_ready && engine.slots > 0 && !demand.excluded.contains(&engine.key)
         };
         let engine = self.engines.iter().find(may_take);
-        assert!(engine.is_none(), "no engine for {demand:?}, but {engine:?}");
+        assert!(
+            engine.is_none(),
+            "no engine for {demand:?}, although {engine:?} is available"
+        );
     }
 
-    /// All calls end, nobody asks any more, and time goes on.
-    fn calm_down(&mut self) {
+    /// Ends all calls, stops all requests, and advances the time.
+    fn expire_everything(&mut self) {
         for ticket in std::mem::take(&mut self.waiting).into_keys() {
-            self.note(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Given);
         }
         let granted = std::mem::take(&mut self.granted);
         for ticket in granted
             .into_keys()
-            .chain(std::mem::take(&mut self.told).into_keys())
+            .chain(std::mem::take(&mut self.reported).into_keys())
         {
-            self.note(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Given);
         }
         self.silent_until.clear();
         for _ in 0..600 {
@@ -437,61 +446,64 @@
         let decisions = self.scheduler.take_decisions();
         assert!(
             decisions.is_empty(),
-            "decided when all was over: {decisions:?}"
+            "decisions after all calls had ended: {decisions:?}"
         );
     }
 }
 
-/// Plays many seeds, and prints what was decided.
-fn play(is_life_kept: bool) {
+/// Runs all seeds and prints the number of decisions by kind.
+fn run_seeds(keeps_calls: bool) {
     let mut counts = BTreeMap::<&str, u64>::new();
-    let mut most_beyond_slots = 0;
+    let mut max_beyond_slots = 0;
     for seed in 0..60 {
-        let mut chance = Chance::new(seed, is_life_kept);
+        let mut driver = RandomDriver::new(seed, keeps_calls);
         for _ in 0..4_000 {
-            chance.step();
+            driver.step();
         }
-        for (name, count) in &chance.counts {
+        for (name, count) in &driver.counts {
             *counts.entry(name).or_default() += count;
         }
-        most_beyond_slots = most_beyond_slots.max(chance.most_beyond_slots);
+        max_beyond_slots = max_beyond_slots.max(driver.max_beyond_slots);
     }
-    println!("decisions {counts:?}, at most {most_beyond_slots} calls beyond the slots");
+    println!(
+        "decisions {counts:?}, at most {max_beyond_slots} calls beyond the slots of an engine"
+    );
     let granted = counts.get("granted").copied().unwrap_or(0);
-    assert!(granted > 10_000, "few calls were granted: {counts:?}");
+    assert!(granted > 10_000, "only few calls were granted: {counts:?}");
 }
 
-/// Random asks, ends, withdrawals, notes about strangers, changes of the engines and silences of gateways. A call is
-/// decided at most once and only while it waits, and by its deadline if its gateway goes on asking; it is granted only
-/// engines that are listed, ready and not excluded, with at most a few calls beyond their slots; "no engine" is said
-/// only where no engine could take it.
+/// Guards against repeated, late or missing decisions, against grants of engines that are unlisted,
+/// not ready, excluded or overloaded, and against "no engine" while an engine is available.
 #[test]
-fn decisions_keep_the_rules_whatever_happens() {
-    play(false);
+fn invariants_hold_when_engines_restart() {
+    run_seeds(false);
 }
 
-/// The same, but an engine that is off the list for a while comes back in the same life, with the calls that it had.
+/// The same, with engines that are unlisted temporarily and keep their calls.
 #[test]
-fn decisions_keep_the_rules_when_engines_are_off_the_list_for_a_while() {
-    play(true);
+fn invariants_hold_when_engines_are_unlisted_temporarily() {
+    run_seeds(true);
 }
 
-/// Ten loads with ten minutes of calm after each: what the scheduler keeps after the last five is about as much as after
-/// the first five.
+/// Guards against state that grows with the number of past calls: after each of ten loads, the
+/// scheduler's state is compared once all calls have expired.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
-fn what_is_kept_does_not_grow_with_the_calls_that_were(seed: u64) {
-    let mut chance = Chance::new(seed, false);
-    let mut kept = Vec::new();
+fn state_does_not_grow_with_past_calls(seed: u64) {
+    let mut driver = RandomDriver::new(seed, false);
+    let mut state_sizes = Vec::new();
     for _ in 0..10 {
         for _ in 0..4_000 {
-            chance.step();
+            driver.step();
         }
-        chance.calm_down();
-        kept.push(format!("{:?}", chance.scheduler).len());
+        driver.expire_everything();
+        state_sizes.push(format!("{:?}", driver.scheduler).len());
     }
-    println!("seed {seed}: length of what is kept after each load {kept:?}");
-    assert!(!chance.decided.is_empty(), "nothing was decided");
-    let most = |kept: &[usize]| kept.iter().copied().max().unwrap_or(0);
-    let (early, late) = (most(&kept[..5]), most(&kept[5..]));
-    assert!(late <= early * 3 / 2 + 2_000, "it grows: {kept:?}");
+    println!("seed {seed}: size of the state after each load {state_sizes:?}");
+    assert!(!driver.decided.is_empty(), "no decisions");
+    let most = |state_sizes: &[usize]| state_sizes.iter().copied().max().unwrap_or(0);
+    let (early, late) = (most(&state_sizes[..5]), most(&state_sizes[5..]));
+    assert!(
+        late <= early * 3 / 2 + 2_000,
+        "state grows: {state_sizes:?}"
+    );
 }
--- a/crates/courseshed-pool/tests/prompts.rs
+++ b/crates/courseshed-pool/tests/prompts.rs
@@ -1,55 +1,63 @@
-//! Programs that begin with long shared prompts, which engines hold only some of.
+//! Programs with long shared prompt prefixes, of which each engine can cache only some.
 
 mod support;
 
-use support::{Kind, SHARED_TOKENS, World, engines, loose, tight};
+use support::{ProgramKind, SHARED_TOKENS, Simulation, engines, loose, tight};
 use yare::parameterized;
 
-fn with_many_shared_parts(kind: Kind) -> Kind {
-    Kind {
+fn with_many_shared_parts(kind: ProgramKind) -> ProgramKind {
+    ProgramKind {
         shared_parts: 16,
         hot_percent: 50,
         ..kind
     }
 }
 
-fn shared_reads(world: &World) -> u64 {
-    let tokens: u64 = world.engines.iter().map(|engine| engine.shared_read).sum();
+fn shared_prefills(simulation: &Simulation) -> u64 {
+    let tokens: u64 = simulation
+        .engines
+        .iter()
+        .map(|engine| engine.shared_prefill_tokens)
+        .sum();
     tokens / u64::from(SHARED_TOKENS)
 }
 
-/// 44 engines that hold 226,000 tokens each, at 70 % of what they can do; programs begin with one of 16 shared parts of
-/// 12,600 tokens, half of them with the same. Shared parts are read less than once for each place in all engines, and
-/// seldom once all is warm; the hot one is at hand on as many engines as half of the load fills; nearly all programs
-/// end in aim.
+/// 44 engines with a cache of 226,000 tokens, at 70 % of their capacity; programs begin with one of
+/// 16 shared parts of 12,600 tokens, half of them with the same one. Guards against repeated
+/// prefills of shared parts, and against a hot part that is cached on too few engines.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
-fn shared_prompts_are_seldom_read_again_and_a_hot_one_is_spread(seed: u64) {
-    let mut world = World::new(seed, engines(44, |_| 1.0));
-    world.load(with_many_shared_parts(tight()), 0.45, 0..20_000);
-    world.load(with_many_shared_parts(loose()), 0.25, 0..20_000);
-    world.run_until(5_000);
-    let (warming, before) = (shared_reads(&world), world.programs.len());
-    world.run_until(20_000);
-    let reads = shared_reads(&world) - warming;
-    let programs = world.programs.len() - before;
-    let hot = world
+fn shared_prompts_are_rarely_prefilled_again_and_hot_ones_are_replicated(seed: u64) {
+    let mut simulation = Simulation::new(seed, engines(44, |_| 1.0));
+    simulation.load(with_many_shared_parts(tight()), 0.45, 0..20_000);
+    simulation.load(with_many_shared_parts(loose()), 0.25, 0..20_000);
+    simulation.run_until(5_000);
+    let (warm_up, before) = (shared_prefills(&simulation), simulation.programs.len());
+    simulation.run_until(20_000);
+    let prefills = shared_prefills(&simulation) - warm_up;
+    let programs = simulation.programs.len() - before;
+    let hot_engines = simulation
         .engines
         .iter()
-        .filter(|engine| engine.holds(0))
+        .filter(|engine| engine.has_cached(0))
         .count();
-    world.run_until(28_000);
+    simulation.run_until(28_000);
 
-    let shares = world.shares(|program| program.started_ms > 5_000);
-    println!("seed {seed}: shared parts read {warming} times in 5 s, then {reads} times");
-    println!(" for {programs} programs; the hot one is on {hot} engines; {shares:?}");
+    let shares = simulation.shares(|program| program.started_ms > 5_000);
+    println!("seed {seed}: {warm_up} prefills of shared parts in 5 s, then {prefills}");
+    println!(
+        " for {programs} programs; the hot part is cached on {hot_engines} engines; {shares:?}"
+    );
+    assert!(
+        warm_up <= 44 * 16,
+        "{warm_up} prefills of shared parts in the first 5 s"
+    );
     assert!(
-        warming <= 44 * 16,
-        "{warming} reads of shared parts at first"
+        prefills as usize * 20 <= programs,
+        "{prefills} prefills for {programs} programs"
     );
     assert!(
-        reads as usize * 20 <= programs,
-        "{reads} reads for {programs} programs"
+        hot_engines >= 16,
+        "the hot part is cached on {hot_engines} engines"
     );
-    assert!(hot >= 16, "the hot part is on {hot} engines");
-    assert!(shares.in_aim >= 95.0, "{shares:?}");
+    assert!(shares.on_time >= 95.0, "{shares:?}");
 }
--- a/crates/courseshed-pool/tests/returning.rs
+++ b/crates/courseshed-pool/tests/returning.rs
@@ -1,42 +1,42 @@
-//! A scheduler that is replaced by one that knows nothing.
+//! Replacement of a scheduler by a new one without state.
 
 mod support;
 
-use support::{World, engines, loose, tight};
+use support::{Simulation, engines, loose, tight};
 use yare::parameterized;
 
 const REPLACED_MS: u64 = 8_000;
 
-/// Most calls that gateways have at one engine, at any time until `end_ms`.
-fn most_calls(world: &mut World, end_ms: u64) -> usize {
-    let mut most = 0;
-    while world.now < end_ms {
-        world.run_until(world.now + 10);
-        let calls = (0..world.engines.len()).map(|place| world.calls_at(place));
-        most = most.max(calls.max().unwrap_or(0));
+/// Maximum number of calls on one engine at any time until `end_ms`.
+fn max_calls(simulation: &mut Simulation, end_ms: u64) -> usize {
+    let mut highest = 0;
+    while simulation.now < end_ms {
+        simulation.run_until(simulation.now + 10);
+        let calls = (0..simulation.engines.len()).map(|place| simulation.calls_at(place));
+        highest = highest.max(calls.max().unwrap_or(0));
     }
-    most
+    highest
 }
 
-/// 44 engines at 75 % of what they can do, or at 110 % for a while; after 8 s a new scheduler learns the engines and
-/// from each gateway the calls it has there; what the old one said last is lost. Calls keep their engines, are granted
-/// one only once, no engine gets more than it had before, and grants go on within 0.3 s.
+/// 44 engines at 75 % of their capacity, or at 110 % for a while. After 8 s a new scheduler learns
+/// the engines and the running calls from the gateways, and undelivered decisions are lost. Guards
+/// against calls granted a second engine, overloaded engines, and a gap in grants.
 #[parameterized(
-    with_room = { 1, 0.0 }, with_room_again = { 2, 0.0 }, full = { 3, 0.35 }, full_again = { 4, 0.35 }
+    below_capacity = { 1, 0.0 }, below_capacity_2 = { 2, 0.0 }, above_capacity = { 3, 0.35 }, above_capacity_2 = { 4, 0.35 }
 )]
-fn a_new_scheduler_goes_on_where_the_old_one_was(seed: u64, more: f64) {
-    let mut world = World::new(seed, engines(44, |_| 1.0));
-    world.load(tight(), 0.5, 0..14_000);
-    world.load(loose(), 0.25, 0..14_000);
-    world.load(tight(), more, 6_000..10_000);
-    let before = most_calls(&mut world, REPLACED_MS);
-    world.replace_scheduler();
-    let after = most_calls(&mut world, 12_000);
-    let longest_ms = world.longest_wait_ms();
-    world.run_until(24_000);
+fn new_scheduler_continues_with_the_running_calls(seed: u64, additional_load: f64) {
+    let mut simulation = Simulation::new(seed, engines(44, |_| 1.0));
+    simulation.load(tight(), 0.5, 0..14_000);
+    simulation.load(loose(), 0.25, 0..14_000);
+    simulation.load(tight(), additional_load, 6_000..10_000);
+    let before = max_calls(&mut simulation, REPLACED_MS);
+    simulation.replace_scheduler();
+    let after = max_calls(&mut simulation, 12_000);
+    let longest_ms = simulation.longest_wait_ms();
+    simulation.run_until(24_000);
 
     let granted = |from, until| {
-        world
+        simulation
             .grants
             .iter()
             .filter(|grant| (from..until).contains(&grant.0))
@@ -46,33 +46,37 @@
         granted(REPLACED_MS - 300, REPLACED_MS),
         granted(REPLACED_MS, REPLACED_MS + 300),
     );
-    let under_way = world.shares(|program| (6_000..8_000).contains(&program.started_ms));
-    let unended = world
+    let running_programs =
+        simulation.shares(|program| (6_000..8_000).contains(&program.started_ms));
+    let unfinished = simulation
         .programs
         .iter()
         .filter(|program| program.ended.is_none())
         .count();
     println!(
-        "seed {seed}: most calls at an engine {before}, then {after}; longest {longest_ms} ms"
+        "seed {seed}: maximum calls on an engine {before}, then {after}; longest wait {longest_ms} ms"
     );
     println!(
-        " grants in 0.3 s {rates:?}, granted twice {}, {under_way:?}",
-        world.granted_twice
+        " grants in 0.3 s {rates:?}, conflicting grants {}, {running_programs:?}",
+        simulation.conflicting_grants
+    );
+    assert_eq!(unfinished, 0, "programs that did not end");
+    assert_eq!(
+        simulation.conflicting_grants, 0,
+        "calls granted a second engine"
     );
-    assert_eq!(unended, 0, "programs without an end");
-    assert_eq!(world.granted_twice, 0, "calls granted twice");
     assert!(
         after <= before.max(8) + 2,
-        "{after} calls at an engine, {before} before"
+        "{after} calls on an engine, {before} before"
     );
     assert!(
         rates.1 * 10 >= rates.0 * 6,
         "grants in 0.3 s before and after: {rates:?}"
     );
-    if more == 0.0 {
+    if additional_load == 0.0 {
         assert!(
-            under_way.in_aim >= 94.0 && under_way.failed < 0.5,
-            "{under_way:?}"
+            running_programs.on_time >= 94.0 && running_programs.failed < 0.5,
+            "{running_programs:?}"
         );
     }
 }
--- a/crates/courseshed-pool/tests/support/mod.rs
+++ b/crates/courseshed-pool/tests/support/mod.rs
@@ -1,6 +1,8 @@
-//! Small fake engines, gateways and programs that load a [`PoolScheduler`] in virtual time, in steps of 1 ms.
+//! Simulated engines, gateways and programs around a [`PoolScheduler`], in steps of 1 ms of virtual
+//! time.
 //!
-//! Not a model of any engine: just enough for queues, prompts that are read again and failures to have a price.
+//! The engines are simplified: they have queues, prompt caches and failures, and reproduce no real
+//! engine's timing.
 #![allow(dead_code, unused_imports)] // each test file uses a part
 
 mod engine;
@@ -16,20 +18,20 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-pub use engine::{FakeEngine, Health, SHARED_TOKENS, engines};
-pub use program::{Kind, Outcome, Program, loose, tight};
+pub use engine::{EngineHealth, SHARED_TOKENS, SimulatedEngine, engines};
+pub use program::{Outcome, Program, ProgramKind, loose, tight};
 
-use engine::{Job, MS_PER_TOKEN, READ_TOKENS_PER_MS, SLOWER_PER_CALL};
-use program::{GROWN, OUTPUT, ZONE, middle};
+use engine::{BATCH_SLOWDOWN_PER_CALL, Job, MS_PER_TOKEN, PREFILL_TOKENS_PER_MS};
+use program::{OUTPUT_TOKENS, PROMPT_GROWTH, ZONE, mean};
 
 const DEADLINE_MS: u64 = 3_000;
 const ASK_AGAIN_MS: u64 = 150;
-/// How often gateways name the calls that they have at engines.
-const TELL_RUNNING_MS: u64 = 2_000;
-const TRIES: u32 = 3;
+/// Interval at which gateways list their running calls.
+const REPORT_RUNNING_MS: u64 = 2_000;
+const MAX_ATTEMPTS: u32 = 3;
 
-struct Stream {
-    kind: Kind,
+struct ProgramStream {
+    kind: ProgramKind,
     per_ms: f64,
     next_ms: f64,
     until_ms: u64,
@@ -38,27 +40,27 @@
 struct Call {
     program: usize,
     since_ms: u64,
-    /// Place of the engine that it was sent to, and when.
-    at: Option<(usize, u64)>,
+    /// Index of the engine that the call was sent to, and the time.
+    sent_to: Option<(usize, u64)>,
 }
 
 /// How a call ended for its gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum How {
+pub enum CallOutcome {
     Ended(CallEnd),
     RefusedByScheduler,
     NoEngine,
 }
 
-/// The end of a call, for the figures.
+/// Record of a call's end.
 #[derive(Clone, Copy, Debug)]
-pub struct Ending {
+pub struct CallRecord {
     pub at_ms: u64,
-    /// How long the gateway had the call.
-    pub after_ms: u64,
+    /// Time since the gateway received the call.
+    pub elapsed_ms: u64,
     pub program: usize,
     pub engine: Option<usize>,
-    pub how: How,
+    pub outcome: CallOutcome,
 }
 
 enum Event {
@@ -72,35 +74,35 @@
     Deadline(Ticket),
 }
 
-/// The engines, gateways and programs around one scheduler.
-pub struct World {
+/// Engines, gateways and programs around one scheduler.
+pub struct Simulation {
     pub now: u64,
     pub scheduler: PoolScheduler,
-    pub engines: Vec<FakeEngine>,
+    pub engines: Vec<SimulatedEngine>,
     pub programs: Vec<Program>,
-    pub endings: Vec<Ending>,
-    /// When, to which call and at which place engines were granted.
+    pub call_records: Vec<CallRecord>,
+    /// Grants: time, call, and index of the engine.
     pub grants: Vec<(u64, Ticket, usize)>,
-    /// Grants of another engine to calls that had been granted one already.
-    pub granted_twice: u32,
+    /// Number of calls that were granted a second, different engine.
+    pub conflicting_grants: u32,
     calls: BTreeMap<Ticket, Call>,
-    streams: Vec<Stream>,
+    streams: Vec<ProgramStream>,
     events: BTreeMap<u64, Vec<Event>>,
     gateways: Vec<NodeId>,
     numbers: u64,
     random: ChaCha8Rng,
 }
 
-impl World {
-    pub fn new(seed: u64, engines: Vec<FakeEngine>) -> Self {
-        let mut world = Self {
+impl Simulation {
+    pub fn new(seed: u64, engines: Vec<SimulatedEngine>) -> Self {
+        let mut simulation = Self {
             now: 0,
             scheduler: PoolScheduler::new(),
             engines,
             programs: Vec::new(),
-            endings: Vec::new(),
+            call_records: Vec::new(),
             grants: Vec::new(),
-            granted_twice: 0,
+            conflicting_grants: 0,
             calls: BTreeMap::new(),
             streams: Vec::new(),
             events: BTreeMap::new(),
@@ -108,42 +110,43 @@
             numbers: 0,
             random: ChaCha8Rng::seed_from_u64(seed),
         };
-        world.list(&[]);
-        world
+        simulation.send_engine_list(&[]);
+        simulation
     }
 
     fn clock(&self) -> Duration {
         Duration::from_millis(self.now)
     }
 
-    /// Tells the scheduler all engines, those at the places given as not ready.
-    pub fn list(&mut self, not_ready: &[usize]) {
-        let listing = |(place, engine): (usize, &FakeEngine)| EngineListing {
+    /// Sends the engine list to the scheduler; the given engines are listed as not ready.
+    pub fn send_engine_list(&mut self, not_ready: &[usize]) {
+        let listing = |(index, engine): (usize, &SimulatedEngine)| EngineListing {
             key: engine.key,
             zone: ZONE,
             slots: engine.slots as u32,
             memory_tokens: Some(engine.memory_tokens),
-            is_ready: !not_ready.contains(&place),
+            is_ready: !not_ready.contains(&index),
         };
         let listings: Vec<_> = self.engines.iter().enumerate().map(listing).collect();
         self.scheduler.set_engines(self.clock(), &listings);
     }
 
-    /// Adds programs that take such a share of what all engines can do with full slots and prompts at hand.
-    pub fn load(&mut self, kind: Kind, share: f64, period_ms: Range<u64>) {
-        let turn_ms = |engine: &FakeEngine| {
-            let crowd = 1.0 + SLOWER_PER_CALL * (engine.slots - 1) as f64;
-            let reading = middle(&GROWN) / READ_TOKENS_PER_MS;
-            engine.slowness * (middle(&OUTPUT) * MS_PER_TOKEN * crowd + reading)
+    /// Adds programs with a load of `share` of the engines' capacity, assuming full batches and
+    /// cached prompts.
+    pub fn load(&mut self, kind: ProgramKind, share: f64, period_ms: Range<u64>) {
+        let turn_ms = |engine: &SimulatedEngine| {
+            let batch_slowdown = 1.0 + BATCH_SLOWDOWN_PER_CALL * (engine.slots - 1) as f64;
+            let prefill_ms = mean(&PROMPT_GROWTH) / PREFILL_TOKENS_PER_MS;
+            engine.slowdown * (mean(&OUTPUT_TOKENS) * MS_PER_TOKEN * batch_slowdown + prefill_ms)
         };
         let turns_per_ms: f64 = self
             .engines
             .iter()
             .map(|engine| engine.slots as f64 / turn_ms(engine))
             .sum();
-        let per_ms = share * turns_per_ms / middle(&kind.turns);
+        let per_ms = share * turns_per_ms / mean(&kind.turns);
         let (next_ms, until_ms) = (period_ms.start as f64, period_ms.end);
-        self.streams.push(Stream {
+        self.streams.push(ProgramStream {
             kind,
             per_ms,
             next_ms,
@@ -151,13 +154,13 @@
         });
     }
 
-    /// Changes engines' health; those that are gone break off what they have and forget what they read.
-    pub fn set_health(&mut self, places: Range<usize>, health: Health) {
-        for place in places {
-            let engine = &mut self.engines[place];
+    /// Sets the health of engines. Unreachable engines drop their calls and lose their caches.
+    pub fn set_health(&mut self, indices: Range<usize>, health: EngineHealth) {
+        for index in indices {
+            let engine = &mut self.engines[index];
             engine.health = health;
-            if health == Health::Gone {
-                engine.memory.clear();
+            if health == EngineHealth::Unreachable {
+                engine.cache.clear();
                 let jobs = engine.running.drain(..).chain(engine.queue.drain(..));
                 let broken: Vec<Ticket> = jobs.map(|job| job.ticket).collect();
                 for ticket in broken {
@@ -167,17 +170,17 @@
         }
     }
 
-    /// A scheduler that knows nothing takes over; what the old one said last is lost.
+    /// Replaces the scheduler by a new one; undelivered decisions of the old one are lost.
     pub fn replace_scheduler(&mut self) {
         for events in self.events.values_mut() {
             events.retain(|event| !matches!(event, Event::Decided(_)));
         }
         self.scheduler = PoolScheduler::new();
-        self.list(&[]);
-        self.tell_running();
+        self.send_engine_list(&[]);
+        self.report_running();
     }
 
-    fn tell_running(&mut self) {
+    fn report_running(&mut self) {
         let clock = self.clock();
         for gateway in self.gateways.clone() {
             let running = self.running_calls(gateway);
@@ -187,10 +190,10 @@
 
     fn running_calls(&self, gateway: NodeId) -> Vec<RunningCall> {
         let running = |(ticket, call): (&Ticket, &Call)| {
-            let (place, since_ms) = call.at?;
+            let (index, since_ms) = call.sent_to?;
             Some(RunningCall {
                 number: ticket.number,
-                engine: self.engines[place].key,
+                engine: self.engines[index].key,
                 for_ms: (self.now - since_ms) as u32,
             })
         };
@@ -201,15 +204,15 @@
         of_gateway.filter_map(running).collect()
     }
 
-    /// How many calls gateways have at the engine.
-    pub fn calls_at(&self, place: usize) -> usize {
-        let is_at = |call: &&Call| call.at.is_some_and(|(at, _)| at == place);
+    /// Number of calls that gateways have on an engine.
+    pub fn calls_at(&self, index: usize) -> usize {
+        let is_at = |call: &&Call| call.sent_to.is_some_and(|(at, _)| at == index);
         self.calls.values().filter(is_at).count()
     }
 
-    /// The oldest call that no engine was granted to: how long its gateway has had it, in milliseconds.
+    /// Age of the oldest call without a grant, in milliseconds.
     pub fn longest_wait_ms(&self) -> u64 {
-        let waiting = self.calls.values().filter(|call| call.at.is_none());
+        let waiting = self.calls.values().filter(|call| call.sent_to.is_none());
         waiting
             .map(|call| self.now - call.since_ms)
             .max()
@@ -223,13 +226,13 @@
             for event in self.events.remove(&self.now).unwrap_or_default() {
                 self.handle(event);
             }
-            for place in 0..self.engines.len() {
-                for (ticket, end) in self.engines[place].step(self.now) {
+            for index in 0..self.engines.len() {
+                for (ticket, end) in self.engines[index].step(self.now) {
                     self.after(1, Event::Ended(ticket, end));
                 }
             }
-            if self.now.is_multiple_of(TELL_RUNNING_MS) {
-                self.tell_running();
+            if self.now.is_multiple_of(REPORT_RUNNING_MS) {
+                self.report_running();
             }
             if self.now.is_multiple_of(5) {
                 self.scheduler.tick(self.clock());
@@ -257,14 +260,14 @@
                 if self
                     .calls
                     .get(&ticket)
-                    .is_some_and(|call| call.at.is_none())
+                    .is_some_and(|call| call.sent_to.is_none())
                 {
                     self.ask(ticket);
                 }
             }
-            Event::Decided(decision) => self.take_in(decision),
-            Event::Sent(ticket) => self.reach_engine(ticket),
-            Event::Ended(ticket, end) => self.end_call(ticket, How::Ended(end)),
+            Event::Decided(decision) => self.handle_decision(decision),
+            Event::Sent(ticket) => self.deliver_call(ticket),
+            Event::Ended(ticket, end) => self.end_call(ticket, CallOutcome::Ended(end)),
             Event::Noted(ticket, end) => {
                 let note = CallNote {
                     number: ticket.number,
@@ -272,14 +275,14 @@
                 };
                 self.scheduler.note(self.clock(), ticket.gateway, &[note]);
             }
-            Event::Deadline(ticket) => self.end_call(ticket, How::Ended(CallEnd::Given)),
+            Event::Deadline(ticket) => self.end_call(ticket, CallOutcome::Ended(CallEnd::Given)),
         }
     }
 
     fn start_programs(&mut self) {
-        for place in 0..self.streams.len() {
+        for index in 0..self.streams.len() {
             loop {
-                let stream = &mut self.streams[place];
+                let stream = &mut self.streams[index];
                 if stream.next_ms > self.now as f64 || self.now >= stream.until_ms {
                     break;
                 }
@@ -290,7 +293,7 @@
         }
     }
 
-    fn start_program(&mut self, kind: Kind) {
+    fn start_program(&mut self, kind: ProgramKind) {
         let gateway = self.gateways[self.random.random_range(0..self.gateways.len())];
         let number = self.programs.len();
         let program = Program::new(self.now, gateway, number, kind, &mut self.random);
@@ -304,13 +307,13 @@
             gateway: self.programs[program].gateway,
             number: self.numbers,
         };
-        self.programs[program].tries += 1;
+        self.programs[program].attempts += 1;
         self.calls.insert(
             ticket,
             Call {
                 program,
                 since_ms: self.now,
-                at: None,
+                sent_to: None,
             },
         );
         self.after(DEADLINE_MS, Event::Deadline(ticket));
@@ -330,7 +333,7 @@
         self.after(ASK_AGAIN_MS, Event::AskAgain(ticket));
     }
 
-    fn take_in(&mut self, decision: Decision) {
+    fn handle_decision(&mut self, decision: Decision) {
         let ticket = decision.ticket;
         let Some(call) = self.calls.get_mut(&ticket) else {
             self.after(1, Event::Noted(ticket, CallEnd::Given));
@@ -338,32 +341,36 @@
         };
         match decision.verdict {
             Verdict::Granted(key) => {
-                let is_granted = |engine: &FakeEngine| engine.key == key;
-                let place = self
+                let is_granted = |engine: &SimulatedEngine| engine.key == key;
+                let index = self
                     .engines
                     .iter()
                     .position(is_granted)
                     .expect("a listed engine");
-                if let Some((at, _)) = call.at {
-                    self.granted_twice += u32::from(at != place);
+                if let Some((at, _)) = call.sent_to {
+                    self.conflicting_grants += u32::from(at != index);
                     return;
                 }
-                call.at = Some((place, self.now));
-                self.grants.push((self.now, ticket, place));
+                call.sent_to = Some((index, self.now));
+                self.grants.push((self.now, ticket, index));
                 self.after(1, Event::Sent(ticket));
             }
             Verdict::Refused { retry_after_ms } => {
-                self.finish(ticket, How::RefusedByScheduler, Some(retry_after_ms.into()));
+                self.finish(
+                    ticket,
+                    CallOutcome::RefusedByScheduler,
+                    Some(retry_after_ms.into()),
+                );
             }
-            Verdict::NoEngine => self.finish(ticket, How::NoEngine, None),
+            Verdict::NoEngine => self.finish(ticket, CallOutcome::NoEngine, None),
             Verdict::Waiting => panic!("{decision:?} is no decision"),
         }
     }
 
-    fn reach_engine(&mut self, ticket: Ticket) {
+    fn deliver_call(&mut self, ticket: Ticket) {
         let Some(Call {
             program,
-            at: Some((place, _)),
+            sent_to: Some((index, _)),
             ..
         }) = self.calls.get(&ticket)
         else {
@@ -373,64 +380,67 @@
         let job = Job {
             ticket,
             parts: program.parts.clone(),
-            unread: 0.0,
-            output: program.turns[program.turn].output.into(),
-            generated: 0.0,
+            uncached_tokens: 0.0,
+            output_tokens: program.turns[program.turn].output_tokens.into(),
+            generated_tokens: 0.0,
             sent_ms: self.now,
-            first_ms: None,
+            first_token_ms: None,
         };
-        if let Some(end) = self.engines[*place].accept(self.now, job) {
+        if let Some(end) = self.engines[*index].accept(self.now, job) {
             self.after(1, Event::Ended(ticket, end));
         }
     }
 
-    /// The gateway learns how its call ended, and tells the scheduler.
-    fn end_call(&mut self, ticket: Ticket, how: How) {
+    /// Ends a call at its gateway and reports the end to the scheduler.
+    fn end_call(&mut self, ticket: Ticket, outcome: CallOutcome) {
         if self.calls.contains_key(&ticket) {
-            let How::Ended(end) = how else { return };
+            let CallOutcome::Ended(end) = outcome else {
+                return;
+            };
             self.after(1, Event::Noted(ticket, end));
-            self.finish(ticket, how, None);
+            self.finish(ticket, outcome, None);
         }
     }
 
-    fn finish(&mut self, ticket: Ticket, how: How, retry_after_ms: Option<u64>) {
+    fn finish(&mut self, ticket: Ticket, outcome: CallOutcome, retry_after_ms: Option<u64>) {
         let call = self.calls.remove(&ticket).expect("a call under way");
-        let engine = call.at.map(|(place, _)| place);
-        if let Some(place) = engine {
-            self.engines[place].forget(ticket);
+        let engine = call.sent_to.map(|(index, _)| index);
+        if let Some(index) = engine {
+            self.engines[index].cancel(ticket);
         }
-        let after_ms = self.now - call.since_ms;
+        let elapsed_ms = self.now - call.since_ms;
         let (at_ms, program) = (self.now, call.program);
-        self.endings.push(Ending {
+        self.call_records.push(CallRecord {
             at_ms,
-            after_ms,
+            elapsed_ms,
             program,
             engine,
-            how,
+            outcome,
         });
-        match how {
-            How::Ended(CallEnd::Whole { generated, .. }) => {
-                self.go_on(program, generated, engine.expect("an engine that answered"));
+        match outcome {
+            CallOutcome::Ended(CallEnd::Whole { generated, .. }) => {
+                self.complete_turn(program, generated, engine.expect("an engine that answered"));
             }
-            _ => self.try_again(program, engine, retry_after_ms),
+            _ => self.retry_turn(program, engine, retry_after_ms),
         }
     }
 
-    fn go_on(&mut self, place: usize, generated: u32, engine: usize) {
-        let program = &mut self.programs[place];
-        let kept = CachedPrompt::after_answer(self.engines[engine].key, &program.parts, generated);
-        program.parts.clone_from(&kept.parts);
-        program.held = vec![kept];
+    fn complete_turn(&mut self, index: usize, generated: u32, engine: usize) {
+        let program = &mut self.programs[index];
+        let cached =
+            CachedPrompt::after_answer(self.engines[engine].key, &program.parts, generated);
+        program.parts.clone_from(&cached.parts);
+        program.cached = vec![cached];
         program.excluded.clear();
-        program.tries = 0;
+        program.attempts = 0;
         let pause_ms = program.turns[program.turn].pause_ms;
         program.turn += 1;
         if let Some(turn) = program.turns.get(program.turn) {
-            program.parts[1].tokens += turn.grown;
-            self.after(pause_ms, Event::TurnStarts(place));
+            program.parts[1].tokens += turn.prompt_growth;
+            self.after(pause_ms, Event::TurnStarts(index));
         } else {
-            let outcome = if self.now <= program.aim_ms {
-                Outcome::InAim
+            let outcome = if self.now <= program.target_ms {
+                Outcome::OnTime
             } else {
                 Outcome::Late
             };
@@ -438,22 +448,22 @@
         }
     }
 
-    fn try_again(&mut self, place: usize, engine: Option<usize>, retry_after_ms: Option<u64>) {
-        let program = &mut self.programs[place];
+    fn retry_turn(&mut self, index: usize, engine: Option<usize>, retry_after_ms: Option<u64>) {
+        let program = &mut self.programs[index];
         program
             .excluded
             .extend(engine.map(|engine| self.engines[engine].key));
-        if program.tries >= TRIES {
+        if program.attempts >= MAX_ATTEMPTS {
             program.ended = Some((self.now, Outcome::Failed));
             return;
         }
         let delay_ms = retry_after_ms.unwrap_or_else(|| self.random.random_range(100..=400));
-        self.after(delay_ms.max(1), Event::TurnStarts(place));
+        self.after(delay_ms.max(1), Event::TurnStarts(index));
     }
 
-    /// Percent in aim, late and failed of the programs chosen that have ended, and how many these are.
-    pub fn shares(&self, chosen: impl Fn(&Program) -> bool) -> Shares {
-        let ended = self.programs.iter().filter(|program| chosen(program));
+    /// Outcomes of the selected programs that have ended.
+    pub fn shares(&self, filter: impl Fn(&Program) -> bool) -> OutcomeShares {
+        let ended = self.programs.iter().filter(|program| filter(program));
         let outcomes: Vec<_> = ended.filter_map(|program| program.ended).collect();
         let percent = |wanted| {
             let count = outcomes
@@ -462,44 +472,48 @@
                 .count();
             100.0 * count as f64 / outcomes.len().max(1) as f64
         };
-        Shares {
+        OutcomeShares {
             programs: outcomes.len(),
-            in_aim: percent(Outcome::InAim),
+            on_time: percent(Outcome::OnTime),
             late: percent(Outcome::Late),
             failed: percent(Outcome::Failed),
         }
     }
 
-    /// How many calls ended so in the period.
-    pub fn count_endings(&self, period_ms: Range<u64>, how: impl Fn(&Ending) -> bool) -> usize {
-        let in_period = |ending: &&Ending| period_ms.contains(&ending.at_ms);
-        self.endings
+    /// Number of calls that ended in the period and match the filter.
+    pub fn count_calls(
+        &self,
+        period_ms: Range<u64>,
+        filter: impl Fn(&CallRecord) -> bool,
+    ) -> usize {
+        let in_period = |record: &&CallRecord| period_ms.contains(&record.at_ms);
+        self.call_records
             .iter()
             .filter(in_period)
-            .filter(|ending| how(ending))
+            .filter(|record| filter(record))
             .count()
     }
 
-    /// Turns that were answered whole over all programs, for the figures.
-    pub fn turns_served(&self, period_ms: Range<u64>) -> usize {
-        self.count_endings(period_ms, |ending| {
-            matches!(ending.how, How::Ended(CallEnd::Whole { .. }))
+    /// Number of turns completed in the period.
+    pub fn completed_turns(&self, period_ms: Range<u64>) -> usize {
+        self.count_calls(period_ms, |record| {
+            matches!(record.outcome, CallOutcome::Ended(CallEnd::Whole { .. }))
         })
     }
 }
 
-/// How programs ended, in percent.
+/// Outcomes of programs, in percent.
 #[derive(Clone, Copy, Debug)]
-pub struct Shares {
+pub struct OutcomeShares {
     pub programs: usize,
-    pub in_aim: f64,
+    pub on_time: f64,
     pub late: f64,
     pub failed: f64,
 }
 
-/// Notes what is wrong, so that one test tells all of it.
-pub fn check(faults: &mut Vec<String>, is_right: bool, fault: String) {
-    if !is_right {
-        faults.push(fault);
+/// Collects a failed check, so that a test reports all of its failures.
+pub fn check(failures: &mut Vec<String>, holds: bool, failure: String) {
+    if !holds {
+        failures.push(failure);
     }
 }
--- a/crates/courseshed-pool/tests/support/program.rs
+++ b/crates/courseshed-pool/tests/support/program.rs
@@ -1,4 +1,4 @@
-//! Fake programs: chains of turns with pauses between, a growing prompt and an aim.
+//! Simulated programs: sequences of turns with pauses, a growing prompt and a target time.
 
 use std::ops::Range;
 
@@ -7,30 +7,31 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::engine::{MS_PER_TOKEN, READ_TOKENS_PER_MS, SHARED_TOKENS};
+use super::engine::{MS_PER_TOKEN, PREFILL_TOKENS_PER_MS, SHARED_TOKENS};
 
-/// Where all gateways and engines stand.
+/// Zone of all gateways and engines.
 pub(super) const ZONE: NameKey = NameKey(1);
 
-/// What programs of a stream are like.
+/// Parameters of a stream of programs.
 #[derive(Clone, Debug)]
-pub struct Kind {
+pub struct ProgramKind {
     pub factor: f64,
     pub rank: u32,
     pub tenant: u64,
     pub turns: Range<u32>,
     pub shared_parts: u64,
-    /// How many of a hundred begin with the first shared part; the others share the rest evenly.
+    /// Percentage of programs that begin with the first shared part; the others are spread evenly
+    /// over the rest.
     pub hot_percent: u32,
 }
 
-pub(super) const GROWN: Range<u32> = 200..600;
-pub(super) const OUTPUT: Range<u32> = 80..220;
+pub(super) const PROMPT_GROWTH: Range<u32> = 200..600;
+pub(super) const OUTPUT_TOKENS: Range<u32> = 80..220;
 const PAUSE_MS: Range<u64> = 100..300;
 
-/// About 9 turns and little time to spare.
-pub fn tight() -> Kind {
-    Kind {
+/// About 9 turns and little slack.
+pub fn tight() -> ProgramKind {
+    ProgramKind {
         factor: 1.2,
         rank: 0,
         tenant: 1,
@@ -40,9 +41,9 @@
     }
 }
 
-/// About 3 turns and some time to spare.
-pub fn loose() -> Kind {
-    Kind {
+/// About 3 turns and more slack.
+pub fn loose() -> ProgramKind {
+    ProgramKind {
         factor: 1.4,
         rank: 1,
         turns: 2..5,
@@ -51,34 +52,34 @@
 }
 
 pub(super) struct Turn {
-    pub(super) grown: u32,
-    pub(super) output: u32,
+    pub(super) prompt_growth: u32,
+    pub(super) output_tokens: u32,
     pub(super) pause_ms: u64,
 }
 
-pub(super) fn middle(range: &Range<u32>) -> f64 {
+pub(super) fn mean(range: &Range<u32>) -> f64 {
     f64::from(range.start + range.end - 1) / 2.0
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    InAim,
+    OnTime,
     Late,
     Failed,
 }
 
 pub struct Program {
-    pub kind: Kind,
+    pub kind: ProgramKind,
     pub started_ms: u64,
     pub ended: Option<(u64, Outcome)>,
     pub(super) gateway: NodeId,
-    pub(super) aim_ms: u64,
+    pub(super) target_ms: u64,
     pub(super) parts: Vec<PromptPart>,
     pub(super) turns: Vec<Turn>,
     pub(super) turn: usize,
-    pub(super) tries: u32,
+    pub(super) attempts: u32,
     pub(super) excluded: Vec<ServerKey>,
-    pub(super) held: Vec<CachedPrompt>,
+    pub(super) cached: Vec<CachedPrompt>,
 }
 
 impl Program {
@@ -86,11 +87,11 @@
         now: u64,
         gateway: NodeId,
         number: usize,
-        kind: Kind,
+        kind: ProgramKind,
         random: &mut ChaCha8Rng,
     ) -> Self {
         let count = random.random_range(kind.turns.clone());
-        let turns: Vec<Turn> = (0..count).map(|_| Turn::any(random)).collect();
+        let turns: Vec<Turn> = (0..count).map(|_| Turn::random(random)).collect();
         let is_hot = kind.shared_parts == 1 || random.random_range(0..100) < kind.hot_percent;
         let shared = if is_hot {
             0
@@ -104,11 +105,11 @@
             },
             PromptPart {
                 id: 1_000_000 + number as u64,
-                tokens: turns[0].grown,
+                tokens: turns[0].prompt_growth,
             },
         ];
         Self {
-            aim_ms: now + (kind.factor * idle_ms(&turns)) as u64 + 250,
+            target_ms: now + (kind.factor * unloaded_ms(&turns)) as u64 + 250,
             kind,
             started_ms: now,
             ended: None,
@@ -116,17 +117,17 @@
             parts,
             turns,
             turn: 0,
-            tries: 0,
+            attempts: 0,
             excluded: Vec::new(),
-            held: Vec::new(),
+            cached: Vec::new(),
         }
     }
 
-    /// What its turn asks for now; the call's own number and times are left to its gateway.
+    /// Request for the current turn; the gateway fills in the number and the times.
     pub(super) fn demand(&self, now: u64, number: usize) -> CallDemand {
         let standing = ProgramStanding {
             program: NameKey(number as u64),
-            left_ms: Some(self.aim_ms.saturating_sub(now) as u32),
+            left_ms: Some(self.target_ms.saturating_sub(now) as u32),
             turns_budgeted: Some(1.5 * self.turns.len() as f32),
         };
         CallDemand {
@@ -138,29 +139,31 @@
             program: Some(standing),
             zone: ZONE,
             parts: self.parts.clone(),
-            most_tokens: OUTPUT.end,
+            most_tokens: OUTPUT_TOKENS.end,
             waited_ms: 0,
             time_left_ms: 0,
             excluded: self.excluded.clone(),
-            held: self.held.clone(),
+            held: self.cached.clone(),
         }
     }
 }
 
 impl Turn {
-    fn any(random: &mut ChaCha8Rng) -> Self {
+    fn random(random: &mut ChaCha8Rng) -> Self {
         Self {
-            grown: random.random_range(GROWN),
-            output: random.random_range(OUTPUT),
+            prompt_growth: random.random_range(PROMPT_GROWTH),
+            output_tokens: random.random_range(OUTPUT_TOKENS),
             pause_ms: random.random_range(PAUSE_MS),
         }
     }
 }
 
-/// Time that the turns take on an idle engine of slowness 1 that holds the shared part, in milliseconds.
-fn idle_ms(turns: &[Turn]) -> f64 {
+/// Duration of the turns on an idle engine of slowdown 1 that has the shared part cached, in
+/// milliseconds.
+fn unloaded_ms(turns: &[Turn]) -> f64 {
     let turn_ms = |turn: &Turn| {
-        f64::from(turn.grown) / READ_TOKENS_PER_MS + f64::from(turn.output) * MS_PER_TOKEN
+        f64::from(turn.prompt_growth) / PREFILL_TOKENS_PER_MS
+            + f64::from(turn.output_tokens) * MS_PER_TOKEN
     };
     let pauses = turns
         .split_last()
