--- a/crates/courseshed-quota/src/message.rs
+++ b/crates/courseshed-quota/src/message.rs
@@ -1,4 +1,4 @@
-//! What gateways and the owner of the permits say to each other.
+//! Messages between gateways and the owner of the permits.
 
 use courseshed_types::NodeId;
 use serde::{Deserialize, Serialize};
@@ -6,84 +6,84 @@
 /// A gateway's use of one tenant's permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantUse {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Permits that the gateway goes by until it has the answer.
+    /// Permits that the gateway may use until it receives the answer.
     pub held: u32,
-    /// Of these, how many are occupied or about to be.
+    /// Permits that are occupied or reserved for a call about to be sent.
     pub used: u32,
-    /// Calls that wait for a permit.
+    /// Number of calls waiting for a permit.
     pub waiting: u32,
 }
 
-/// What a gateway says of its permits. At most one report of a gateway is under way.
+/// A gateway's report on its permits. At most one report of a gateway is in flight.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QuotaReport {
-    /// The life of the gateway's process; a later one has a higher number.
+    /// Incarnation of the gateway's process; higher after each restart.
     pub incarnation: u64,
-    /// How long that life has lasted, in milliseconds.
+    /// Uptime of the process, in milliseconds.
     pub life_ms: u64,
-    /// Grows with each report of that life.
+    /// Sequence number of the report within the incarnation.
     pub sequence: u64,
-    /// The owner that the gateway believes to know all that it holds.
+    /// Epoch of the owner that has the gateway's complete state, as far as the gateway knows.
     pub epoch: Option<u64>,
-    /// Whether tenants that aren't listed have no permits here.
+    /// Whether the report is complete: unlisted tenants have no permits at the gateway.
     pub is_whole: bool,
-    /// Tenants whose use changed, or all.
+    /// Tenants whose use changed, or all tenants if the report is complete.
     pub uses: Vec<TenantUse>,
 }
 
-/// What a gateway may use from now on.
+/// Permits granted to a gateway for one tenant.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TenantGrant {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Permits.
+    /// Number of permits; replaces the previous grant.
     pub permits: u32,
-    /// Permits that are occupied at all gateways, in thousandths of what there are.
+    /// Permits in use at all gateways, in thousandths of the tenant's permits.
     pub occupied_permille: u16,
-    /// Whether more may follow as soon as the controllers have agreed.
+    /// Whether the grant may be raised once the controllers have committed a higher ceiling.
     pub is_pending: bool,
 }
 
-/// The answer to a report.
+/// Answer to a report.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum QuotaAnswer {
-    /// All that the gateway holds is renewed, with these changes.
+    /// The gateway's lease is renewed, with these changes.
     Granted {
-        /// Of the tenants that were reported.
+        /// Grants for the reported tenants.
         grants: Vec<TenantGrant>,
     },
-    /// The owner doesn't know all that the gateway holds: it is to report everything.
+    /// The owner lacks the gateway's complete state; the next report must be complete.
     ReportAll {
-        /// The owner.
+        /// Epoch of the owner.
         epoch: u64,
     },
 }
 
-/// The most permits of a tenant that may be out.
+/// Upper bound of a tenant's outstanding permits.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ceiling {
-    /// The tenant.
+    /// Name of the tenant.
     pub tenant: String,
-    /// Permits.
+    /// Number of permits.
     pub permits: u32,
 }
 
-/// What an owner is bound by, and the next one may rely on: agreed on by the controllers before it is
-/// used. A change of it, or all of it.
+/// Bounds on what an owner may grant, which its successor relies on. Committed by the controllers
+/// before they are used. Either a change or the complete state.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OwnerBounds {
-    /// The most permits that may be out, by tenant.
+    /// Upper bounds of the outstanding permits, by tenant.
     pub ceilings: Vec<Ceiling>,
     /// Gateways that may hold permits.
     pub holders: Vec<NodeId>,
-    /// Gateways that may hold them no longer.
+    /// Gateways that may no longer hold permits.
     pub former_holders: Vec<NodeId>,
 }
 
 impl OwnerBounds {
-    /// Whether it changes nothing.
+    /// Whether the change is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.ceilings.is_empty() && self.holders.is_empty() && self.former_holders.is_empty()
--- a/crates/courseshed-quota/src/terms.rs
+++ b/crates/courseshed-quota/src/terms.rs
@@ -1,30 +1,30 @@
-//! The figures of quotas.
+//! Parameters of request quotas.
 
 use std::time::Duration;
 
 use courseshed_routing::RequestQuota;
 
-/// How long permits may be used after the question whose answer granted or renewed them: longer than
-/// the controllers take to agree on a new leader (1 to 2 s), and about as long as a gateway that hears
-/// nothing may use keys. A new owner waits for it, so it is no longer than that.
+/// Lease duration of permits, counted by the gateway from the report whose answer granted or
+/// renewed them. Longer than the controllers take to elect a leader (1 to 2 s). A new owner waits
+/// for it to expire, so it should not be longer than necessary.
 pub const LEASE: Duration = Duration::from_secs(5);
-/// How much longer than a window a send occupies its permit: sends reach servers after unlike times,
-/// 1 to 5 ms between zones and up to some hundred where a processor's share holds one up.
+/// How much longer than the window a send occupies its permit, which covers differences in the time
+/// that sends take to reach their servers.
 const ARRIVAL_MARGIN: Duration = Duration::from_millis(500);
 
-/// How requests are counted.
+/// Limits of a tenant's request rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct QuotaTerms {
     /// Length of the sliding window.
     pub window: Duration,
-    /// The part by which a window's sum may be over the limit.
+    /// Fraction of the limit by which a window may exceed it.
     pub overshoot: f64,
-    /// Requests by which it may be over the limit beside that.
+    /// Number of requests by which a window may exceed the limit in addition.
     pub slack: f64,
 }
 
 impl Default for QuotaTerms {
-    /// A window of 5 s with a tenth and 20 requests beyond, as fleets that were played ask for.
+    /// A window of 5 s that may exceed the limit by 10 % and 20 requests.
     fn default() -> Self {
         Self {
             window: Duration::from_secs(5),
@@ -35,11 +35,11 @@
 }
 
 impl QuotaTerms {
-    /// The permits of a tenant: the most requests that one window may see.
+    /// Permits of a tenant: the maximum number of requests in any window.
     #[must_use]
     pub fn permits(&self, quota: &RequestQuota) -> u32 {
         let limit = quota.rate_per_s * self.window.as_secs_f64() + quota.burst;
-        // A float is turned into the nearest integer that fits, 0 if it is no number.
+        // The cast saturates, and maps NaN to 0.
         (limit * (1.0 + self.overshoot) + self.slack).floor() as u32
     }
 
