--- a/crates/courseshed-quota/src/lib.rs
+++ b/crates/courseshed-quota/src/lib.rs
@@ -1,14 +1,16 @@
-//! Limits of tenants' requests, kept over all gateways together, in touch or not.
+//! Rate limits of tenants, enforced over all gateways, also while gateways and controllers can't
+//! reach each other.
 //!
-//! A tenant has as many *permits* as it may make requests in one window. Each send occupies one for a
-//! window and a little; then it is free again, at the same gateway. So whoever holds permits may go
-//! on at their rate without asking, and no window ever sees more sends than there are permits. The
-//! [`QuotaOwner`], at the controllers' leader, leases permits to the [`QuotaHolder`] of each gateway:
-//! ahead of need while there is room, and on demand. Leases lapse at the holder before the owner
-//! counts their permits as free, measured by each on its own clock from the same message.
+//! A tenant has as many *permits* as it may send requests in one window. Each send occupies a
+//! permit for slightly longer than the window; then the permit is free again at the same gateway. A
+//! gateway with permits can therefore sustain their rate without further messages, and no window
+//! contains more sends than there are permits. The [`QuotaOwner`], on the controllers' leader,
+//! leases permits to the [`QuotaHolder`] of each gateway, on demand and ahead of demand while there
+//! are free ones. Both sides measure a lease on their own clocks from the same message, and a
+//! holder's lease always expires before the owner counts its permits as free.
 //!
-//! Invariant: at any time, the sends of all gateways within the last window are at most the permits.
-//! The crate does no I/O; time is passed in.
+//! Invariant: the sends of all gateways within any window never exceed the permits. The crate does
+//! no I/O; the time is a parameter.
 
 mod holder;
 mod message;
@@ -17,5 +19,5 @@
 
 pub use holder::{QuotaHolder, Shortage, Standing};
 pub use message::{Ceiling, OwnerBounds, QuotaAnswer, QuotaReport, TenantGrant, TenantUse};
-pub use owner::{QuotaOwner, Variant};
+pub use owner::{InjectedFault, QuotaOwner};
 pub use terms::{LEASE, QuotaTerms};
--- a/crates/courseshed-quota/src/owner.rs
+++ b/crates/courseshed-quota/src/owner.rs
@@ -1,11 +1,11 @@
-//! The owner of all permits: it leases them to gateways, and counts each as out until no send that it
-//! allowed can be within the last window.
+//! The owner of all permits. Leases them to gateways, and counts a permit as outstanding until no
+//! send that it allowed can be within the last window.
 //!
-//! An owner knows nothing of what the one before it granted. What those grants may come to at most is
-//! bounded by ceilings, and who may have them by a list of holders; the controllers agree on both
-//! before they are used. What of a ceiling no gateway has reported counts as out until every holder
-//! has reported from a life that lasts for longer than a send counts, or, for those that stay silent,
-//! until all leases of the owner before have lapsed.
+//! An owner does not know its predecessor's grants. They are bounded by ceilings per tenant and by
+//! a list of holders, both committed by the controllers before they are used. The part of a ceiling
+//! that no gateway has reported counts as outstanding until every holder has reported with an
+//! uptime longer than a send occupies its permit or, if holders stay silent, until all leases of
+//! the predecessor have expired.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,43 +16,43 @@
     Ceiling, LEASE, OwnerBounds, QuotaAnswer, QuotaReport, QuotaTerms, TenantGrant, TenantUse,
 };
 
-/// Permits that a gateway gets beyond its need, to begin with.
-const AHEAD: u32 = 1;
-/// The part of its need that a gateway gets beyond it: a third, a new program's first second.
-const AHEAD_PART: u32 = 3;
-/// The part of what is free that one gateway gets ahead of need at most: an eighth, so that some is
-/// left for whoever asks next.
-const FREE_PART: u32 = 8;
-/// Steps of a ceiling, as parts of a tenant's permits. The finer, the more of its permits a new owner
-/// may grant at once; the coarser, the fewer commands.
+/// Permits granted beyond a gateway's need, in addition to the fraction of its need.
+const MIN_AHEAD: u32 = 1;
+/// Divisor of the need that yields the permits granted ahead of it.
+const AHEAD_DIVISOR: u32 = 3;
+/// Divisor of the free permits that limits a gateway's grant ahead of need, so that some remain for
+/// other gateways.
+const FREE_DIVISOR: u32 = 8;
+/// Number of steps of a ceiling. More steps leave a new owner more permits to grant at once; fewer
+/// steps need fewer commands.
 const CEILING_STEPS: u32 = 16;
-/// The step that a ceiling begins with: a quarter, half of what a tenant uses whose limit is 1.6 times
-/// its mean.
-const FIRST_STEP: u32 = 4;
-/// Steps that a ceiling is above what is out, so that it need not be raised with each grant.
-const SPARE_STEPS: u32 = 1;
+/// Initial step of a ceiling: a quarter of the tenant's permits.
+const INITIAL_STEP: u32 = 4;
+/// Steps between the outstanding permits and the ceiling, so that it is not raised with each grant.
+const HEADROOM_STEPS: u32 = 1;
 
-/// An owner that is broken on purpose, for tests of what checks it.
+/// Deliberate faults, injected by tests to verify that their checks detect them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Variant {
-    /// As it should be.
+pub enum InjectedFault {
+    /// No fault.
     #[default]
-    Sound,
-    /// A new owner believes that nothing is out.
-    ForgetsFormerGrants,
-    /// Permits of a gateway that started anew are free at once.
-    FreesAtRestart,
-    /// A lowered grant counts as lowered before the gateway knows of it.
-    LowersAtOnce,
-    /// Permits of a silent gateway are free long before its lease has lapsed, and at once.
-    FreesEarly,
+    None,
+    /// A new owner assumes that nothing is outstanding.
+    IgnoresFormerGrants,
+    /// Permits of a restarted gateway are free at once.
+    ReleasesAtRestart,
+    /// A reduced grant counts as reduced before the gateway has acknowledged it.
+    LowersBeforeAck,
+    /// Permits of a silent gateway are free well before its lease expires, and without a delay for
+    /// its last sends.
+    ReleasesEarly,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Charge {
-    /// The most sends of the gateway that one window may see.
+    /// Upper bound of the gateway's sends in one window.
     permits: u32,
-    /// Permits that were occupied or waited for when it reported.
+    /// Permits in use or waited for, as of the last report.
     in_use: u32,
 }
 
@@ -60,31 +60,31 @@
 struct GatewayLedger {
     incarnation: u64,
     sequence: u64,
-    heard_at: Duration,
-    is_known: bool,
+    last_report_at: Duration,
+    has_reported_all: bool,
     charges: BTreeMap<String, Charge>,
 }
 
-/// Permits of a gateway that is gone, until the window of its last send is over.
+/// Permits of a stopped gateway process, counted until its last sends leave the window.
 #[derive(Clone, Copy, Debug)]
-struct Fading {
+struct DrainingPermits {
     permits: u32,
     until: Duration,
 }
 
 #[derive(Debug, Default)]
 struct TenantLedger {
-    /// Sum of all gateways' charges.
+    /// Sum of the charges of all gateways.
     charged: u64,
     in_use: u64,
-    fading: Vec<Fading>,
-    /// What the owner before may have granted that no gateway has reported yet.
+    draining: Vec<DrainingPermits>,
+    /// Possible grants of the previous owner that no gateway has reported yet.
     unreported: u32,
-    /// The most that was out since the ceiling was looked at last.
-    most_out: u64,
+    /// Peak of the outstanding permits since the ceiling was last reviewed.
+    peak_outstanding: u64,
 }
 
-/// The permits of all tenants, for one term of the controllers' leader.
+/// Permits of all tenants during one term of the controllers' leader.
 #[derive(Debug)]
 pub struct QuotaOwner {
     terms: QuotaTerms,
@@ -93,21 +93,21 @@
     ceilings: BTreeMap<String, u32>,
     /// Gateways that may hold permits.
     holders: BTreeSet<NodeId>,
-    /// Holders of the owner before that haven't reported yet.
-    awaited: BTreeSet<NodeId>,
-    /// When no send of an earlier life of those that have reported counts any more.
-    lives_clear_at: Duration,
-    /// Holders that fell silent, and when nothing of them counts any more.
-    silent: BTreeMap<NodeId, Duration>,
+    /// Holders of the previous owner that have not reported yet.
+    unreported_holders: BTreeSet<NodeId>,
+    /// When the sends of earlier incarnations of the reporting gateways have left the window.
+    restarts_clear_at: Duration,
+    /// Holders that stopped reporting, and when their sends have left the window.
+    silent_holders: BTreeMap<NodeId, Duration>,
     gateways: BTreeMap<NodeId, GatewayLedger>,
     tenants: BTreeMap<String, TenantLedger>,
-    /// Gateways whose permits of the owner before were taken over, once each.
+    /// Gateways whose earlier permits have been subtracted from the unreported ones.
     adopted: BTreeSet<NodeId>,
-    variant: Variant,
+    fault: InjectedFault,
 }
 
 impl QuotaOwner {
-    /// An owner that begins now, under the bounds that the one before was bound by.
+    /// Creates an owner that starts now, with the bounds committed by its predecessors.
     #[must_use]
     pub fn new(terms: QuotaTerms, epoch: u64, now: Duration, bounds: OwnerBounds) -> Self {
         let ceilings: BTreeMap<String, u32> = bounds
@@ -128,27 +128,27 @@
             recovered_at: now + LEASE + terms.occupancy(),
             tenants: ceilings.iter().map(ledger).collect(),
             ceilings,
-            awaited: bounds.holders.iter().copied().collect(),
+            unreported_holders: bounds.holders.iter().copied().collect(),
             holders: bounds.holders.into_iter().collect(),
-            lives_clear_at: now,
-            silent: BTreeMap::new(),
+            restarts_clear_at: now,
+            silent_holders: BTreeMap::new(),
             gateways: BTreeMap::new(),
             adopted: BTreeSet::new(),
-            variant: Variant::Sound,
+            fault: InjectedFault::None,
         }
     }
 
-    /// The same, broken on purpose.
+    /// Returns the owner with an injected fault.
     #[must_use]
-    pub fn broken(mut self, variant: Variant) -> Self {
-        self.variant = variant;
-        if variant == Variant::ForgetsFormerGrants {
+    pub fn with_fault(mut self, fault: InjectedFault) -> Self {
+        self.fault = fault;
+        if fault == InjectedFault::IgnoresFormerGrants {
             self.recovered_at = Duration::ZERO;
         }
         self
     }
 
-    /// Notes that the controllers agreed on a change of the bounds.
+    /// Applies a change of the bounds that the controllers committed.
     pub fn on_bounds(&mut self, bounds: &OwnerBounds) {
         for ceiling in &bounds.ceilings {
             self.ceilings
@@ -160,28 +160,29 @@
         }
     }
 
-    /// How the bounds should change, with each tenant's permits. Called now and then: a ceiling is
-    /// lowered, for the sake of the next owner, if what was out since the last time would fit under a
-    /// lower one. What is lowered binds this owner at once.
+    /// Returns due changes of the bounds, given each tenant's permits. Call it periodically: a
+    /// ceiling is lowered, in favour of the next owner, if the peak of outstanding permits since
+    /// the last call fits under a lower one. Lowered ceilings take effect immediately.
     #[must_use]
     pub fn bounds_due<'a>(
         &mut self,
         now: Duration,
         tenants: impl IntoIterator<Item = (&'a str, u32)>,
     ) -> OwnerBounds {
-        self.forget_old(now);
+        self.expire_leases(now);
         let mut due = OwnerBounds::default();
         for (name, permits) in tenants {
             let ceiling = self.ceilings.get(name).copied().unwrap_or(0);
             let ledger = self.tenants.entry(name.to_owned()).or_default();
-            let out = ledger.out();
-            let most_out = std::mem::replace(&mut ledger.most_out, out).max(out);
-            let wanted = step_above(permits, most_out);
+            let outstanding = ledger.outstanding();
+            let peak_outstanding =
+                std::mem::replace(&mut ledger.peak_outstanding, outstanding).max(outstanding);
+            let wanted = step_above(permits, peak_outstanding);
             let is_lower = wanted < ceiling && now >= self.recovered_at;
             if is_lower {
                 self.ceilings.insert(name.to_owned(), wanted);
             }
-            if is_lower || ceiling < step(permits, FIRST_STEP) {
+            if is_lower || ceiling < step(permits, INITIAL_STEP) {
                 due.ceilings.push(Ceiling {
                     tenant: name.to_owned(),
                     permits: wanted,
@@ -190,22 +191,22 @@
         }
         if now >= self.recovered_at {
             let gateways = &self.gateways;
-            let silent = &self.silent;
+            let silent_holders = &self.silent_holders;
             let is_gone = |node: &&NodeId| {
-                let counts = silent.get(*node).is_some_and(|until| now < *until);
+                let counts = silent_holders.get(*node).is_some_and(|until| now < *until);
                 !counts && !gateways.contains_key(*node)
             };
             due.former_holders = self.holders.iter().filter(is_gone).copied().collect();
             for node in &due.former_holders {
                 self.holders.remove(node);
-                self.silent.remove(node);
+                self.silent_holders.remove(node);
             }
         }
         due
     }
 
-    /// Answers a gateway's report. `permits_of` tells how many permits a tenant has; none if it isn't
-    /// limited or isn't known. Returns how the bounds should change, too.
+    /// Handles a gateway's report and returns the answer and a change of the bounds. `permits_of`
+    /// returns a tenant's permits; none if the tenant is unknown or not limited.
     pub fn on_report(
         &mut self,
         now: Duration,
@@ -213,26 +214,26 @@
         report: QuotaReport,
         permits_of: impl Fn(&str) -> Option<u32>,
     ) -> (Option<QuotaAnswer>, OwnerBounds) {
-        self.forget_old(now);
+        self.expire_leases(now);
         if !self.is_in_order(now, gateway, &report) {
             return (None, OwnerBounds::default());
         }
         let Some(ledger) = self.gateways.get_mut(&gateway) else {
             return (None, OwnerBounds::default());
         };
-        ledger.heard_at = now;
-        let is_new_owner = report.epoch != Some(self.epoch) || !ledger.is_known;
+        ledger.last_report_at = now;
+        let is_new_owner = report.epoch != Some(self.epoch) || !ledger.has_reported_all;
         if is_new_owner && !report.is_whole {
             let answer = QuotaAnswer::ReportAll { epoch: self.epoch };
             return (Some(answer), OwnerBounds::default());
         }
-        ledger.is_known = true;
+        ledger.has_reported_all = true;
         let is_first = self.adopted.insert(gateway);
         if report.is_whole {
-            self.drop_unlisted(gateway, &report);
+            self.release_unlisted(gateway, &report);
         }
         if is_first {
-            self.note_life(now, gateway, report.life_ms);
+            self.record_uptime(now, gateway, report.life_ms);
         }
         let mut grants = Vec::new();
         let mut bounds = OwnerBounds::default();
@@ -241,38 +242,40 @@
         }
         for entry in &report.uses {
             let permits = permits_of(&entry.tenant).unwrap_or(0);
-            let (grant, wanted) = self.decide(gateway, entry, permits, is_first);
+            let (grant, wanted) = self.grant_tenant(gateway, entry, permits, is_first);
             bounds.ceilings.extend(wanted);
             grants.push(grant);
         }
         if report.epoch != Some(self.epoch) {
-            // The gateway learns whose permits these are with its next report.
+            // The gateway learns this owner's epoch first, and confirms it in its next report.
             let answer = QuotaAnswer::ReportAll { epoch: self.epoch };
             return (Some(answer), bounds);
         }
         (Some(QuotaAnswer::Granted { grants }), bounds)
     }
 
-    /// Permits of a tenant that count as out.
+    /// Outstanding permits of a tenant.
     #[must_use]
     pub fn out(&self, tenant: &str) -> u64 {
-        self.tenants.get(tenant).map_or(0, TenantLedger::out)
+        self.tenants
+            .get(tenant)
+            .map_or(0, TenantLedger::outstanding)
     }
 
-    /// Permits of a tenant that are occupied or waited for, as gateways reported last.
+    /// Permits of a tenant in use or waited for, as of the last reports.
     #[must_use]
     pub fn in_use(&self, tenant: &str) -> u64 {
         self.tenants.get(tenant).map_or(0, |ledger| ledger.in_use)
     }
 
-    /// Whether a report is the newest of its gateway. A new life of a gateway takes the place of the
-    /// one before, whose sends may still be within the window.
+    /// Whether a report is newer than all earlier ones of its gateway. A new incarnation of a
+    /// gateway replaces the previous one, whose sends may still be within the window.
     fn is_in_order(&mut self, now: Duration, gateway: NodeId, report: &QuotaReport) -> bool {
-        let known = self
+        let previous = self
             .gateways
             .get(&gateway)
             .map(|ledger| (ledger.incarnation, ledger.sequence));
-        match known {
+        match previous {
             Some((incarnation, sequence)) if incarnation == report.incarnation => {
                 if report.sequence <= sequence {
                     return false;
@@ -283,33 +286,33 @@
                 return true;
             }
             Some((incarnation, _)) if incarnation > report.incarnation => return false,
-            Some(_) => self.let_fade(now, gateway),
+            Some(_) => self.drain_gateway(now, gateway),
             None => {}
         }
         let ledger = GatewayLedger {
             incarnation: report.incarnation,
             sequence: report.sequence,
-            heard_at: now,
-            is_known: false,
+            last_report_at: now,
+            has_reported_all: false,
             charges: BTreeMap::new(),
         };
         self.gateways.insert(gateway, ledger);
         true
     }
 
-    /// Takes in how long a gateway has lived that reports to this owner for the first time. Once all
-    /// holders have, nothing is out that isn't known, but what their earlier lives sent.
-    fn note_life(&mut self, now: Duration, gateway: NodeId, life_ms: u64) {
-        let life = Duration::from_millis(life_ms);
-        let clear_in = self.terms.occupancy().saturating_sub(life);
-        self.lives_clear_at = self.lives_clear_at.max(now + clear_in);
-        self.awaited.remove(&gateway);
-        if self.awaited.is_empty() {
-            self.recovered_at = self.recovered_at.min(self.lives_clear_at);
+    /// Records the uptime of a gateway that reports to this owner for the first time. Once all
+    /// holders have reported, only sends of their earlier incarnations can be unknown.
+    fn record_uptime(&mut self, now: Duration, gateway: NodeId, uptime_ms: u64) {
+        let uptime = Duration::from_millis(uptime_ms);
+        let clear_in = self.terms.occupancy().saturating_sub(uptime);
+        self.restarts_clear_at = self.restarts_clear_at.max(now + clear_in);
+        self.unreported_holders.remove(&gateway);
+        if self.unreported_holders.is_empty() {
+            self.recovered_at = self.recovered_at.min(self.restarts_clear_at);
         }
     }
 
-    fn decide(
+    fn grant_tenant(
         &mut self,
         gateway: NodeId,
         entry: &TenantUse,
@@ -321,39 +324,40 @@
         let ledger = self.gateways.get_mut(&gateway);
         let charge = ledger.map(|ledger| ledger.charges.entry(entry.tenant.clone()).or_default());
         let Some(charge) = charge else {
-            return (refused(&entry.tenant), None);
+            return (zero_grant(&entry.tenant), None);
         };
         let held = entry.held.max(entry.used);
         if is_first {
-            // Granted by the owner before, or by nobody: no longer unreported.
+            // These permits are now charged to the gateway, whoever granted them.
             tenant.unreported = tenant.unreported.saturating_sub(held);
         }
         let ceiling = self.ceilings.get(&entry.tenant).copied().unwrap_or(0);
-        let others = tenant.out() - u64::from(charge.permits);
-        let room_under =
-            |bound: u32| u32::try_from(u64::from(bound).saturating_sub(others)).unwrap_or(u32::MAX);
-        let room = room_under(permits.min(ceiling));
+        let other_outstanding = tenant.outstanding() - u64::from(charge.permits);
+        let room_below = |bound: u32| {
+            u32::try_from(u64::from(bound).saturating_sub(other_outstanding)).unwrap_or(u32::MAX)
+        };
+        let room = room_below(permits.min(ceiling));
         let need = entry.used.saturating_add(entry.waiting);
-        let ahead = AHEAD + need / AHEAD_PART;
-        let could_be = grant_within(room_under(permits), need, ahead);
+        let ahead = MIN_AHEAD + need / AHEAD_DIVISOR;
+        let uncapped_grant = grant_within(room_below(permits), need, ahead);
         let granted = if is_holder {
-            grant_within(room, need, ahead).min(could_be)
+            grant_within(room, need, ahead).min(uncapped_grant)
         } else {
             0
         };
-        let charged = match self.variant {
-            Variant::LowersAtOnce => granted,
+        let charged = match self.fault {
+            InjectedFault::LowersBeforeAck => granted,
             _ => granted.max(held),
         };
         tenant.charged = tenant.charged + u64::from(charged) - u64::from(charge.permits);
         tenant.in_use = tenant.in_use + u64::from(need) - u64::from(charge.in_use);
-        tenant.most_out = tenant.most_out.max(tenant.out());
+        tenant.peak_outstanding = tenant.peak_outstanding.max(tenant.outstanding());
         *charge = Charge {
             permits: charged,
             in_use: need,
         };
-        let wanted = step_above(permits, others + u64::from(could_be));
-        let raised = (granted < could_be && wanted > ceiling).then(|| Ceiling {
+        let wanted = step_above(permits, other_outstanding + u64::from(uncapped_grant));
+        let raised_ceiling = (granted < uncapped_grant && wanted > ceiling).then(|| Ceiling {
             tenant: entry.tenant.clone(),
             permits: wanted,
         });
@@ -361,13 +365,13 @@
             tenant: entry.tenant.clone(),
             permits: granted,
             occupied_permille: tenant.occupied_permille(permits),
-            is_pending: raised.is_some() || !is_holder,
+            is_pending: raised_ceiling.is_some() || !is_holder,
         };
-        (grant, raised)
+        (grant, raised_ceiling)
     }
 
-    /// A whole report tells that the gateway has nothing of tenants that it doesn't list.
-    fn drop_unlisted(&mut self, gateway: NodeId, report: &QuotaReport) {
+    /// Releases tenants that a complete report does not list.
+    fn release_unlisted(&mut self, gateway: NodeId, report: &QuotaReport) {
         let Some(ledger) = self.gateways.get_mut(&gateway) else {
             return;
         };
@@ -382,19 +386,20 @@
         });
     }
 
-    /// Lets the permits of a gateway's former life count until no send of it is within the window.
-    fn let_fade(&mut self, now: Duration, gateway: NodeId) {
+    /// Stops counting a process of a gateway, but keeps its permits outstanding until its sends
+    /// have left the window.
+    fn drain_gateway(&mut self, now: Duration, gateway: NodeId) {
         let Some(ledger) = self.gateways.remove(&gateway) else {
             return;
         };
-        let until = match self.variant {
-            Variant::FreesAtRestart | Variant::FreesEarly => now,
+        let until = match self.fault {
+            InjectedFault::ReleasesAtRestart | InjectedFault::ReleasesEarly => now,
             _ => now + self.terms.occupancy(),
         };
         for (name, charge) in ledger.charges {
             if let Some(tenant) = self.tenants.get_mut(&name) {
                 tenant.release(charge);
-                tenant.fading.push(Fading {
+                tenant.draining.push(DrainingPermits {
                     permits: charge.permits,
                     until,
                 });
@@ -402,24 +407,25 @@
         }
     }
 
-    fn forget_old(&mut self, now: Duration) {
-        let lapse = match self.variant {
-            Variant::FreesEarly => LEASE / 10,
+    fn expire_leases(&mut self, now: Duration) {
+        let lease = match self.fault {
+            InjectedFault::ReleasesEarly => LEASE / 10,
             _ => LEASE,
         };
-        let silent: Vec<NodeId> = self
+        let silent_holders: Vec<NodeId> = self
             .gateways
             .iter()
-            .filter(|(_, ledger)| now.saturating_sub(ledger.heard_at) >= lapse)
+            .filter(|(_, ledger)| now.saturating_sub(ledger.last_report_at) >= lease)
             .map(|(gateway, _)| *gateway)
             .collect();
-        for gateway in silent {
-            self.let_fade(now, gateway);
-            self.silent.insert(gateway, now + self.terms.occupancy());
+        for gateway in silent_holders {
+            self.drain_gateway(now, gateway);
+            self.silent_holders
+                .insert(gateway, now + self.terms.occupancy());
         }
         let is_recovered = now >= self.recovered_at;
         for tenant in self.tenants.values_mut() {
-            tenant.fading.retain(|fading| now < fading.until);
+            tenant.draining.retain(|draining| now < draining.until);
             if is_recovered {
                 tenant.unreported = 0;
             }
@@ -428,13 +434,13 @@
 }
 
 impl TenantLedger {
-    fn out(&self) -> u64 {
-        let fading: u64 = self
-            .fading
+    fn outstanding(&self) -> u64 {
+        let draining: u64 = self
+            .draining
             .iter()
-            .map(|fading| u64::from(fading.permits))
+            .map(|draining| u64::from(draining.permits))
             .sum();
-        self.charged + fading + u64::from(self.unreported)
+        self.charged + draining + u64::from(self.unreported)
     }
 
     fn release(&mut self, charge: Charge) {
@@ -448,10 +454,10 @@
     }
 }
 
-/// What a gateway gets of the room there is: its need first, then some ahead of it.
+/// Grant for a gateway: its need, then an amount ahead of need, within the available room.
 fn grant_within(room: u32, need: u32, ahead: u32) -> u32 {
     let beyond = room.saturating_sub(need);
-    need.min(room) + ahead.min(beyond / FREE_PART)
+    need.min(room) + ahead.min(beyond / FREE_DIVISOR)
 }
 
 fn step(permits: u32, number: u32) -> u32 {
@@ -459,15 +465,15 @@
     u32::try_from(part.div_ceil(u64::from(CEILING_STEPS))).unwrap_or(u32::MAX)
 }
 
-/// The lowest step of a ceiling that has so many permits under it, and some to spare.
-fn step_above(permits: u32, out: u64) -> u32 {
-    let mut steps = FIRST_STEP..=CEILING_STEPS;
-    let fits = steps.find(|number| u64::from(step(permits, *number)) >= out);
-    let number = fits.map_or(CEILING_STEPS, |number| number + SPARE_STEPS);
+/// Lowest ceiling step that fits the outstanding permits, plus headroom.
+fn step_above(permits: u32, outstanding: u64) -> u32 {
+    let mut steps = INITIAL_STEP..=CEILING_STEPS;
+    let fits = steps.find(|number| u64::from(step(permits, *number)) >= outstanding);
+    let number = fits.map_or(CEILING_STEPS, |number| number + HEADROOM_STEPS);
     step(permits, number.min(CEILING_STEPS))
 }
 
-fn refused(tenant: &str) -> TenantGrant {
+fn zero_grant(tenant: &str) -> TenantGrant {
     TenantGrant {
         tenant: tenant.to_owned(),
         permits: 0,
--- a/crates/courseshed-quota/tests/simulation.rs
+++ b/crates/courseshed-quota/tests/simulation.rs
@@ -1,13 +1,14 @@
-//! Gateways and owners under lost, late and reordered messages, kills, freezes, cuts and changes of the
-//! owner: no window sees more sends than a tenant has permits, and calls below the limit are let through.
-//! Owners that are broken on purpose are caught by the same check.
+//! Randomized simulation of gateways and owners with lost, delayed and reordered messages,
+//! restarts, process pauses, network partitions and changes of the owner. Guards against windows
+//! with more sends than permits, against refusals below the limit, and, by injected faults, against
+//! a check that detects nothing.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap, VecDeque};
 use std::time::Duration;
 
 use courseshed_quota::{
-    Ceiling, OwnerBounds, QuotaAnswer, QuotaHolder, QuotaOwner, QuotaReport, QuotaTerms, Standing,
-    Variant,
+    Ceiling, InjectedFault, OwnerBounds, QuotaAnswer, QuotaHolder, QuotaOwner, QuotaReport,
+    QuotaTerms, Standing,
 };
 use courseshed_routing::RequestQuota;
 use courseshed_types::NodeId;
@@ -26,12 +27,12 @@
     ("large", 60.0, 60.0),
 ];
 const GATEWAYS: usize = 8;
-const LENGTH: Duration = Duration::from_secs(40);
+const DURATION: Duration = Duration::from_secs(40);
 const TICK: Duration = Duration::from_millis(20);
-const EXCHANGE_EVERY: Duration = Duration::from_millis(200);
-const ANSWER_LIMIT: Duration = Duration::from_millis(400);
-/// How long an owner may still answer after the next one was chosen: never. Its lease ends first.
-const ELECTION: Duration = Duration::from_millis(900);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
+const ANSWER_TIMEOUT: Duration = Duration::from_millis(400);
+/// Time from the loss of an owner to the start of the next one.
+const OWNER_CHANGE_DELAY: Duration = Duration::from_millis(900);
 
 fn permits_of(tenant: &str) -> Option<u32> {
     let found = TENANTS.iter().find(|(name, ..)| *name == tenant)?;
@@ -44,7 +45,7 @@
 
 #[derive(Clone, Copy)]
 struct Load {
-    /// Of what a tenant's rate allows.
+    /// Fraction of the tenants' rates.
     share: f64,
     faults: f64,
 }
@@ -76,51 +77,51 @@
     },
 }
 
-struct Due {
+struct ScheduledEvent {
     at: Duration,
     order: u64,
     event: Event,
 }
 
-impl PartialEq for Due {
+impl PartialEq for ScheduledEvent {
     fn eq(&self, other: &Self) -> bool {
         (self.at, self.order) == (other.at, other.order)
     }
 }
-impl Eq for Due {}
-impl PartialOrd for Due {
+impl Eq for ScheduledEvent {}
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
 
-/// A call that waits for a permit, and how many answers it has waited for.
-struct Waiting {
+/// A call that waits for a permit, and the number of answers since it began to wait.
+struct WaitingCall {
     tenant: usize,
     answers: u32,
 }
 
 struct Gateway {
     holder: QuotaHolder,
-    waiting: Vec<Waiting>,
+    waiting: Vec<WaitingCall>,
     incarnation: u64,
-    clock_ahead: Duration,
+    clock_offset: Duration,
     down_until: Duration,
-    cut_until: Duration,
-    next_exchange: Duration,
-    /// Events that came while it was frozen.
-    frozen_until: Duration,
+    partitioned_until: Duration,
+    next_report: Duration,
+    /// End of a process pause.
+    paused_until: Duration,
 }
 
-struct World {
+struct Simulation {
     random: ChaCha8Rng,
     now: Duration,
-    events: BinaryHeap<Due>,
+    events: BinaryHeap<ScheduledEvent>,
     order: u64,
     gateways: Vec<Gateway>,
     owner: Option<QuotaOwner>,
@@ -128,29 +129,29 @@
     next_owner: Duration,
     committed: BTreeMap<String, u32>,
     holders: BTreeSet<NodeId>,
-    next_ceilings: Duration,
+    next_bounds: Duration,
     sent: Vec<VecDeque<Duration>>,
-    variant: Variant,
+    fault: InjectedFault,
     load: Load,
-    most: Vec<usize>,
-    taken: u64,
+    max_sends: Vec<usize>,
+    served: u64,
     refused: u64,
     violation: Option<String>,
 }
 
-impl World {
-    fn new(seed: u64, variant: Variant, load: Load) -> Self {
+impl Simulation {
+    fn new(seed: u64, fault: InjectedFault, load: Load) -> Self {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
         let gateways = (0..GATEWAYS)
             .map(|_| Gateway {
                 holder: QuotaHolder::new(TERMS, 1, Duration::ZERO),
                 waiting: Vec::new(),
                 incarnation: 1,
-                clock_ahead: Duration::from_millis(random.random_range(0..100_000)),
+                clock_offset: Duration::from_millis(random.random_range(0..100_000)),
                 down_until: Duration::ZERO,
-                cut_until: Duration::ZERO,
-                next_exchange: Duration::ZERO,
-                frozen_until: Duration::ZERO,
+                partitioned_until: Duration::ZERO,
+                next_report: Duration::ZERO,
+                paused_until: Duration::ZERO,
             })
             .collect();
         Self {
@@ -164,54 +165,58 @@
             next_owner: Duration::ZERO,
             committed: BTreeMap::new(),
             holders: BTreeSet::new(),
-            next_ceilings: Duration::ZERO,
+            next_bounds: Duration::ZERO,
             sent: vec![VecDeque::new(); TENANTS.len()],
-            variant,
+            fault,
             load,
-            most: vec![0; TENANTS.len()],
-            taken: 0,
+            max_sends: vec![0; TENANTS.len()],
+            served: 0,
             refused: 0,
             violation: None,
         }
     }
 
     fn run(mut self) -> Self {
-        while self.now < LENGTH && self.violation.is_none() {
+        while self.now < DURATION && self.violation.is_none() {
             self.now += TICK;
             self.change_owner();
-            self.break_something();
-            self.propose_ceilings();
-            while self.events.peek().is_some_and(|due| due.at <= self.now) {
-                if let Some(due) = self.events.pop() {
-                    self.happen(due.event);
+            self.inject_node_fault();
+            self.propose_bounds();
+            while self
+                .events
+                .peek()
+                .is_some_and(|scheduled| scheduled.at <= self.now)
+            {
+                if let Some(scheduled) = self.events.pop() {
+                    self.handle_event(scheduled.event);
                 }
             }
             for gateway in 0..GATEWAYS {
-                self.exchange(gateway);
-                self.call(gateway);
+                self.report(gateway);
+                self.start_calls(gateway);
             }
         }
         self
     }
 
-    fn later(&mut self, wait: Duration, event: Event) {
+    fn schedule(&mut self, delay: Duration, event: Event) {
         self.order += 1;
-        let due = Due {
-            at: self.now + wait,
+        let scheduled = ScheduledEvent {
+            at: self.now + delay,
             order: self.order,
             event,
         };
-        self.events.push(due);
+        self.events.push(scheduled);
     }
 
-    /// The way of a message; none if it is lost.
-    fn way(&mut self) -> Option<Duration> {
-        let fault = self.random.random_bool(0.05 * self.load.faults);
-        if fault && self.random.random_bool(0.5) {
+    /// Delivery delay of a message; none if it is lost.
+    fn delivery_delay(&mut self) -> Option<Duration> {
+        let is_faulty = self.random.random_bool(0.05 * self.load.faults);
+        if is_faulty && self.random.random_bool(0.5) {
             return None;
         }
-        let most = if fault { 2500 } else { 12 };
-        Some(Duration::from_millis(self.random.random_range(1..=most)))
+        let max_ms = if is_faulty { 2500 } else { 12 };
+        Some(Duration::from_millis(self.random.random_range(1..=max_ms)))
     }
 
     fn change_owner(&mut self) {
@@ -227,51 +232,51 @@
                 former_holders: Vec::new(),
             };
             let owner = QuotaOwner::new(TERMS, self.epoch, self.now, bounds);
-            self.owner = Some(owner.broken(self.variant));
-            self.next_ceilings = self.now;
+            self.owner = Some(owner.with_fault(self.fault));
+            self.next_bounds = self.now;
         }
         if self.owner.is_some() && self.random.random_bool(0.002 * self.load.faults) {
             self.owner = None;
-            self.next_owner = self.now + ELECTION;
+            self.next_owner = self.now + OWNER_CHANGE_DELAY;
         }
     }
 
-    fn break_something(&mut self) {
+    fn inject_node_fault(&mut self) {
         if !self.random.random_bool(0.02 * self.load.faults) {
             return;
         }
         let gateway = self.random.random_range(0..GATEWAYS);
-        let long = Duration::from_millis(self.random.random_range(200..9000));
+        let outage = Duration::from_millis(self.random.random_range(200..9000));
         let now = self.now;
         let node = &mut self.gateways[gateway];
         match self.random.random_range(0..3) {
             0 => {
                 node.incarnation += 1;
-                node.holder = QuotaHolder::new(TERMS, node.incarnation, now + node.clock_ahead);
+                node.holder = QuotaHolder::new(TERMS, node.incarnation, now + node.clock_offset);
                 node.waiting.clear();
                 node.down_until = now + Duration::from_millis(700);
             }
-            1 => node.cut_until = now + long,
-            _ => node.frozen_until = now + long,
+            1 => node.partitioned_until = now + outage,
+            _ => node.paused_until = now + outage,
         }
-        // Now and then everyone loses power at once.
+        // Occasionally all processes restart at once, as after a power failure.
         if self.random.random_bool(0.05) {
             for node in &mut self.gateways {
                 node.incarnation += 1;
-                node.holder = QuotaHolder::new(TERMS, node.incarnation, now + node.clock_ahead);
+                node.holder = QuotaHolder::new(TERMS, node.incarnation, now + node.clock_offset);
                 node.waiting.clear();
                 node.down_until = now + Duration::from_millis(700);
             }
             self.owner = None;
-            self.next_owner = now + ELECTION;
+            self.next_owner = now + OWNER_CHANGE_DELAY;
         }
     }
 
-    fn propose_ceilings(&mut self) {
-        if self.now < self.next_ceilings {
+    fn propose_bounds(&mut self) {
+        if self.now < self.next_bounds {
             return;
         }
-        self.next_ceilings = self.now + Duration::from_secs(2);
+        self.next_bounds = self.now + Duration::from_secs(2);
         let now = self.now;
         let tenants = TENANTS
             .iter()
@@ -284,29 +289,29 @@
 
     fn commit(&mut self, bounds: OwnerBounds) {
         if !bounds.is_empty() {
-            let wait = Duration::from_millis(20);
+            let delay = Duration::from_millis(20);
             let epoch = self.epoch;
-            self.later(wait, Event::Commit { epoch, bounds });
+            self.schedule(delay, Event::Commit { epoch, bounds });
         }
     }
 
     fn is_up(&self, gateway: usize) -> bool {
         let node = &self.gateways[gateway];
-        self.now >= node.down_until && self.now >= node.frozen_until
+        self.now >= node.down_until && self.now >= node.paused_until
     }
 
-    fn is_cut(&self, gateway: usize) -> bool {
-        self.now < self.gateways[gateway].cut_until
+    fn is_partitioned(&self, gateway: usize) -> bool {
+        self.now < self.gateways[gateway].partitioned_until
     }
 
-    fn exchange(&mut self, gateway: usize) {
-        if !self.is_up(gateway) || self.now < self.gateways[gateway].next_exchange {
+    fn report(&mut self, gateway: usize) {
+        if !self.is_up(gateway) || self.now < self.gateways[gateway].next_report {
             return;
         }
         let now = self.now;
         let node = &mut self.gateways[gateway];
-        node.next_exchange = now + EXCHANGE_EVERY;
-        let local = now + node.clock_ahead;
+        node.next_report = now + REPORT_INTERVAL;
+        let local = now + node.clock_offset;
         let Some(report) = node.holder.report(local) else {
             return;
         };
@@ -317,70 +322,70 @@
             incarnation,
             sequence,
         };
-        self.later(ANSWER_LIMIT, give_up);
-        if !self.is_cut(gateway)
-            && let Some(way) = self.way()
+        self.schedule(ANSWER_TIMEOUT, give_up);
+        if !self.is_partitioned(gateway)
+            && let Some(delay) = self.delivery_delay()
         {
-            self.later(way, Event::Report { gateway, report });
+            self.schedule(delay, Event::Report { gateway, report });
         }
     }
 
-    fn call(&mut self, gateway: usize) {
+    fn start_calls(&mut self, gateway: usize) {
         if !self.is_up(gateway) {
             return;
         }
         for (tenant, (name, rate, _)) in TENANTS.iter().enumerate() {
-            let each = rate * self.load.share * TICK.as_secs_f64() / GATEWAYS as f64;
-            // Calls come in bunches, as a program's do.
-            if !self.random.random_bool((each / 4.0).min(1.0)) {
+            let calls_per_tick = rate * self.load.share * TICK.as_secs_f64() / GATEWAYS as f64;
+            // Calls arrive in bursts, as those of programs do.
+            if !self.random.random_bool((calls_per_tick / 4.0).min(1.0)) {
                 continue;
             }
             for _ in 0..4 {
-                if !self.take(gateway, tenant) {
+                if !self.acquire(gateway, tenant) {
                     let node = &mut self.gateways[gateway];
                     node.holder.begin_waiting(name);
-                    node.waiting.push(Waiting { tenant, answers: 0 });
-                    // Asks at once, beside the usual exchanges.
-                    node.next_exchange = self.now;
+                    node.waiting.push(WaitingCall { tenant, answers: 0 });
+                    // Reports immediately instead of at the next interval.
+                    node.next_report = self.now;
                 }
             }
         }
     }
 
-    /// Takes a permit for a call, which is sent a little later.
-    fn take(&mut self, gateway: usize, tenant: usize) -> bool {
+    /// Acquires a permit for a call, which is sent after a delay.
+    fn acquire(&mut self, gateway: usize, tenant: usize) -> bool {
         let node = &mut self.gateways[gateway];
-        let local = self.now + node.clock_ahead;
+        let local = self.now + node.clock_offset;
         let incarnation = node.incarnation;
         let (name, ..) = TENANTS[tenant];
         if node.holder.take(local, name, Standing::UnderWay).is_err() {
             return false;
         }
-        let slow = self.random.random_bool(0.02);
-        let most = if slow { 4000 } else { 30 };
-        let wait = Duration::from_millis(self.random.random_range(0..most));
+        let is_delayed = self.random.random_bool(0.02);
+        let max_ms = if is_delayed { 4000 } else { 30 };
+        let delay = Duration::from_millis(self.random.random_range(0..max_ms));
         let send = Event::Send {
             gateway,
             incarnation,
             tenant,
         };
-        self.later(wait, send);
+        self.schedule(delay, send);
         true
     }
 
-    /// Calls that wait try again after each answer, and are refused after the third.
-    fn try_waiting(&mut self, gateway: usize) {
+    /// Waiting calls retry after each answer, and are refused after the third.
+    fn retry_waiting(&mut self, gateway: usize) {
         let waiting = std::mem::take(&mut self.gateways[gateway].waiting);
         for call in waiting {
             let (name, ..) = TENANTS[call.tenant];
-            let is_served = self.take(gateway, call.tenant);
+            let is_served = self.acquire(gateway, call.tenant);
             let is_refused = !is_served && call.answers >= 2;
             let node = &mut self.gateways[gateway];
             if is_served || is_refused {
                 node.holder.end_waiting(name);
                 self.refused += u64::from(is_refused);
             } else {
-                node.waiting.push(Waiting {
+                node.waiting.push(WaitingCall {
                     answers: call.answers + 1,
                     ..call
                 });
@@ -388,7 +393,7 @@
         }
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Report { gateway, report } => self.on_report(gateway, report),
             Event::Answer {
@@ -397,9 +402,11 @@
                 sequence,
                 answer,
             } => {
-                if self.gateways[gateway].incarnation == incarnation && !self.is_cut(gateway) {
+                if self.gateways[gateway].incarnation == incarnation
+                    && !self.is_partitioned(gateway)
+                {
                     self.gateways[gateway].holder.on_answer(sequence, answer);
-                    self.try_waiting(gateway);
+                    self.retry_waiting(gateway);
                 }
             }
             Event::GiveUp {
@@ -417,12 +424,12 @@
                 incarnation,
                 tenant,
             } => self.send(gateway, incarnation, tenant),
-            Event::Commit { epoch, bounds } => self.agree(epoch, &bounds),
+            Event::Commit { epoch, bounds } => self.apply_commit(epoch, &bounds),
         }
     }
 
     /// Commands of one owner are applied in the order in which they were proposed.
-    fn agree(&mut self, epoch: u64, bounds: &OwnerBounds) {
+    fn apply_commit(&mut self, epoch: u64, bounds: &OwnerBounds) {
         if epoch != self.epoch {
             return;
         }
@@ -450,14 +457,14 @@
         let sequence = report.sequence;
         let (answer, bounds) = owner.on_report(now, node, report, permits_of);
         self.commit(bounds);
-        if let (Some(answer), Some(way)) = (answer, self.way()) {
+        if let (Some(answer), Some(delay)) = (answer, self.delivery_delay()) {
             let event = Event::Answer {
                 gateway,
                 incarnation,
                 sequence,
                 answer,
             };
-            self.later(way, event);
+            self.schedule(delay, event);
         }
     }
 
@@ -466,23 +473,23 @@
             return;
         }
         if !self.is_up(gateway) {
-            // Frozen between the take and the send.
-            let wait = Duration::from_millis(100);
+            // The process was paused between acquiring the permit and sending.
+            let delay = Duration::from_millis(100);
             let send = Event::Send {
                 gateway,
                 incarnation,
                 tenant,
             };
-            self.later(wait, send);
+            self.schedule(delay, send);
             return;
         }
         let (name, ..) = TENANTS[tenant];
         let node = &mut self.gateways[gateway];
-        let local = self.now + node.clock_ahead;
+        let local = self.now + node.clock_offset;
         if !node.holder.send(local, name) {
             return;
         }
-        self.taken += 1;
+        self.served += 1;
         let sent = &mut self.sent[tenant];
         sent.push_back(self.now);
         while sent
@@ -491,7 +498,7 @@
         {
             sent.pop_front();
         }
-        self.most[tenant] = self.most[tenant].max(sent.len());
+        self.max_sends[tenant] = self.max_sends[tenant].max(sent.len());
         let permits = permits_of(name).unwrap_or(0) as usize;
         if sent.len() > permits {
             self.violation = Some(format!(
@@ -508,52 +515,59 @@
     faults: 1.0,
 };
 
-fn violations(variant: Variant, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
+fn violations(fault: InjectedFault, seeds: std::ops::Range<u64>) -> Vec<(u64, String)> {
     let runs = seeds.filter_map(|seed| {
-        let world = World::new(seed, variant, STRESS).run();
-        world.violation.map(|violation| (seed, violation))
+        let simulation = Simulation::new(seed, fault, STRESS).run();
+        simulation.violation.map(|violation| (seed, violation))
     });
     runs.collect()
 }
 
-/// How many seeds are played; more by hand.
+/// Number of seeds; can be raised with `QUOTA_SEEDS`.
 fn seeds() -> u64 {
     let seeds = std::env::var("QUOTA_SEEDS").ok();
     seeds.and_then(|seeds| seeds.parse().ok()).unwrap_or(150)
 }
 
 #[test]
-fn no_window_sees_more_sends_than_there_are_permits() {
-    assert_eq!(violations(Variant::Sound, 0..seeds()), []);
+fn sends_in_any_window_never_exceed_permits() {
+    assert_eq!(violations(InjectedFault::None, 0..seeds()), []);
 }
 
 #[parameterized(
-    forgets = { Variant::ForgetsFormerGrants },
-    frees_at_restart = { Variant::FreesAtRestart },
-    lowers_at_once = { Variant::LowersAtOnce },
-    frees_early = { Variant::FreesEarly },
+    ignores_former_grants = { InjectedFault::IgnoresFormerGrants },
+    releases_at_restart = { InjectedFault::ReleasesAtRestart },
+    lowers_before_ack = { InjectedFault::LowersBeforeAck },
+    releases_early = { InjectedFault::ReleasesEarly },
 )]
-fn owners_broken_on_purpose_are_caught(variant: Variant) {
-    let mut worlds = (0..4000).map(|seed| World::new(seed, variant, STRESS).run());
-    let caught = worlds.find_map(|world| world.violation);
-    assert!(caught.is_some(), "{variant:?} was not caught");
+fn injected_faults_are_detected(fault: InjectedFault) {
+    let mut simulations = (0..4000).map(|seed| Simulation::new(seed, fault, STRESS).run());
+    let detected = simulations.find_map(|simulation| simulation.violation);
+    assert!(detected.is_some(), "{fault:?} was not detected");
 }
 
-/// Below the limit, next to nothing is refused for want of a permit; and the limit is reached.
+/// Below the limit almost no call is refused for lack of a permit.
 #[parameterized(
     mean_use = { 0.62, 0.02 },
     at_the_rate = { 0.95, 0.08 },
 )]
-fn calls_below_the_limit_are_let_through(share: f64, refused_at_most: f64) {
+fn calls_below_the_limit_are_not_refused(share: f64, max_refused_fraction: f64) {
     let load = Load { share, faults: 0.0 };
-    let (mut refused, mut taken) = (0, 0);
+    let (mut refused, mut served) = (0, 0);
     for seed in 0..20 {
-        let world = World::new(seed, Variant::Sound, load).run();
-        assert_eq!(world.violation, None);
-        refused += world.refused;
-        taken += world.taken;
+        let simulation = Simulation::new(seed, InjectedFault::None, load).run();
+        assert_eq!(simulation.violation, None);
+        refused += simulation.refused;
+        served += simulation.served;
     }
-    let part = refused as f64 / (refused + taken) as f64;
-    println!("share {share}: {part:.4} of {} refused", refused + taken);
-    assert!(part <= refused_at_most, "{part} of {}", refused + taken);
+    let refused_fraction = refused as f64 / (refused + served) as f64;
+    println!(
+        "share {share}: {refused_fraction:.4} of {} refused",
+        refused + served
+    );
+    assert!(
+        refused_fraction <= max_refused_fraction,
+        "{refused_fraction} of {} refused",
+        refused + served
+    );
 }
