--- a/crates/courseshed-routing/src/check.rs
+++ b/crates/courseshed-routing/src/check.rs
@@ -1,4 +1,4 @@
-//! What makes a table one that can't be accepted.
+//! Validation of routing tables.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,95 +6,98 @@
 
 use crate::{KeyDigest, Route, RoutingTable, Tenant};
 
-/// The first fault found in a table.
+/// The first error found in a routing table.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TableError {
-    /// A route names a service that the table lacks.
-    #[snafu(display("route {route:?} names the unknown service {service:?}"))]
+    /// A route refers to a service that the table does not contain.
+    #[snafu(display("route {route:?} refers to the unknown service {service:?}"))]
     UnknownService {
-        /// The route.
+        /// Name of the route.
         route: String,
-        /// The service it names.
+        /// Name of the missing service.
         service: String,
     },
-    /// Two routes share host and prefix.
+    /// Two routes have the same host and path prefix.
     #[snafu(display("two routes share host {host:?} and path prefix {path_prefix:?}"))]
-    SamePlace {
-        /// The host of both.
+    DuplicateRoute {
+        /// Host of both routes.
         host: String,
-        /// The prefix of both.
+        /// Path prefix of both routes.
         path_prefix: String,
     },
-    /// A route's weights are negative, or none is above zero.
-    #[snafu(display("the weights of route {route:?} sum to nothing that can be split"))]
-    NoWeight {
-        /// The route.
+    /// A weight of a route is negative or not finite, or no weight is positive.
+    #[snafu(display("the weights of route {route:?} must be non-negative with a positive sum"))]
+    InvalidWeights {
+        /// Name of the route.
         route: String,
     },
-    /// A route allows no time at all.
+    /// A route has a timeout of zero.
     #[snafu(display("the timeout of route {route:?} is 0 ms"))]
-    NoTimeout {
-        /// The route.
+    ZeroTimeout {
+        /// Name of the route.
         route: String,
     },
-    /// A route's prefix doesn't begin and end with a slash.
+    /// A route's path prefix does not begin and end with a slash.
     #[snafu(display("path prefix {path_prefix:?} of route {route:?} must begin and end with '/'"))]
-    BadPrefix {
-        /// The route.
+    InvalidPrefix {
+        /// Name of the route.
         route: String,
-        /// Its prefix.
+        /// The path prefix.
         path_prefix: String,
     },
-    /// A tenant has no name.
+    /// A tenant has an empty name.
     #[snafu(display("a tenant has an empty name"))]
-    NamelessTenant,
+    EmptyTenantName,
     /// Two tenants have the same name.
     #[snafu(display("two tenants are named {tenant:?}"))]
-    SameTenant {
-        /// The name of both.
+    DuplicateTenant {
+        /// Name of both tenants.
         tenant: String,
     },
-    /// A tenant's name can't be told to servers.
-    #[snafu(display("the name of tenant {tenant:?} may hold visible ASCII characters only"))]
-    BadTenantName {
-        /// The tenant.
+    /// A tenant's name can't be sent in a header.
+    #[snafu(display("the name of tenant {tenant:?} may only contain visible ASCII characters"))]
+    InvalidTenantName {
+        /// Name of the tenant.
         tenant: String,
     },
     /// A tenant has an empty key.
     #[snafu(display("tenant {tenant:?} has an empty key"))]
     EmptyKey {
-        /// The tenant.
+        /// Name of the tenant.
         tenant: String,
     },
-    /// A key is held twice. The key is not told.
-    #[snafu(display("tenant {tenant:?} has a key that tenant {other:?} has, too"))]
-    SharedKey {
-        /// The tenant.
+    /// A key is listed twice. The key itself is not reported.
+    #[snafu(display("tenant {tenant:?} has a key that is already assigned to tenant {other:?}"))]
+    DuplicateKey {
+        /// Name of the tenant.
         tenant: String,
-        /// The tenant that was listed with it before; it may be the same one.
+        /// Name of the tenant that listed the key first; may be the same tenant.
         other: String,
     },
-    /// A tenant's quota is no number of requests.
-    #[snafu(display("the rate and the burst of tenant {tenant:?} must be 0 or more"))]
-    BadQuota {
-        /// The tenant.
+    /// A tenant's rate or burst is negative or not finite.
+    #[snafu(display(
+        "the rate and the burst of tenant {tenant:?} must be finite and non-negative"
+    ))]
+    InvalidQuota {
+        /// Name of the tenant.
         tenant: String,
     },
 }
 
 impl RoutingTable {
-    /// Checks a table whole.
+    /// Validates the table.
     ///
     /// # Errors
-    /// [`TableError`]: the first fault found.
+    ///
+    /// [`TableError`]: the first error found.
     pub fn check(&self) -> Result<(), TableError> {
-        let mut places = BTreeSet::new();
+        let mut seen = BTreeSet::new();
         for route in &self.routes {
             self.check_route(route)?;
-            let place = (route.host.as_str(), route.path_prefix.as_str());
+            let host_and_prefix = (route.host.as_str(), route.path_prefix.as_str());
             ensure!(
-                places.insert(place),
-                SamePlaceSnafu {
+                seen.insert(host_and_prefix),
+                DuplicateRouteSnafu {
                     host: &route.host,
                     path_prefix: &route.path_prefix,
                 }
@@ -105,18 +108,18 @@
 
     fn check_tenants(&self) -> Result<(), TableError> {
         let mut names = BTreeSet::new();
-        let mut holders: BTreeMap<KeyDigest, &str> = BTreeMap::new();
+        let mut key_owners: BTreeMap<KeyDigest, &str> = BTreeMap::new();
         for tenant in self.tenants.iter().flatten() {
             check_tenant(tenant)?;
             let name = tenant.name.as_str();
-            ensure!(names.insert(name), SameTenantSnafu { tenant: name });
+            ensure!(names.insert(name), DuplicateTenantSnafu { tenant: name });
             for key in &tenant.keys {
-                let other = holders.insert(*key, name);
+                let previous = key_owners.insert(*key, name);
                 ensure!(
-                    other.is_none(),
-                    SharedKeySnafu {
+                    previous.is_none(),
+                    DuplicateKeySnafu {
                         tenant: name,
-                        other: other.unwrap_or_default(),
+                        other: previous.unwrap_or_default(),
                     }
                 );
             }
@@ -129,12 +132,12 @@
         let prefix = &route.path_prefix;
         ensure!(
             prefix.starts_with('/') && prefix.ends_with('/'),
-            BadPrefixSnafu {
+            InvalidPrefixSnafu {
                 route: name,
                 path_prefix: prefix,
             }
         );
-        ensure!(route.timeout_ms > 0, NoTimeoutSnafu { route: name });
+        ensure!(route.timeout_ms > 0, ZeroTimeoutSnafu { route: name });
         for target in &route.targets {
             ensure!(
                 self.service(&target.service).is_some(),
@@ -144,28 +147,32 @@
                 }
             );
         }
-        let is_weight = |weight: f64| weight.is_finite() && weight >= 0.0;
+        let is_valid_weight = |weight: f64| weight.is_finite() && weight >= 0.0;
         let total: f64 = route.targets.iter().map(|target| target.weight).sum();
-        let can_split = route.targets.iter().all(|target| is_weight(target.weight)) && total > 0.0;
-        ensure!(can_split, NoWeightSnafu { route: name });
+        let can_split = route
+            .targets
+            .iter()
+            .all(|target| is_valid_weight(target.weight))
+            && total > 0.0;
+        ensure!(can_split, InvalidWeightsSnafu { route: name });
         Ok(())
     }
 }
 
 fn check_tenant(tenant: &Tenant) -> Result<(), TableError> {
     let name = &tenant.name;
-    ensure!(!name.is_empty(), NamelessTenantSnafu);
-    let is_tellable = name.bytes().all(|byte| byte.is_ascii_graphic());
-    ensure!(is_tellable, BadTenantNameSnafu { tenant: name });
-    let empty = KeyDigest::of(b"");
+    ensure!(!name.is_empty(), EmptyTenantNameSnafu);
+    let is_header_safe = name.bytes().all(|byte| byte.is_ascii_graphic());
+    ensure!(is_header_safe, InvalidTenantNameSnafu { tenant: name });
+    let empty_key = KeyDigest::of(b"");
     ensure!(
-        !tenant.keys.contains(&empty),
+        !tenant.keys.contains(&empty_key),
         EmptyKeySnafu { tenant: name }
     );
-    let is_count = |number: f64| number.is_finite() && number >= 0.0;
-    let is_quota = tenant
+    let is_valid_number = |number: f64| number.is_finite() && number >= 0.0;
+    let is_valid_quota = tenant
         .quota
-        .is_none_or(|quota| is_count(quota.rate_per_s) && is_count(quota.burst));
-    ensure!(is_quota, BadQuotaSnafu { tenant: name });
+        .is_none_or(|quota| is_valid_number(quota.rate_per_s) && is_valid_number(quota.burst));
+    ensure!(is_valid_quota, InvalidQuotaSnafu { tenant: name });
     Ok(())
 }
--- a/crates/courseshed-routing/src/home.rs
+++ b/crates/courseshed-routing/src/home.rs
@@ -1,40 +1,40 @@
-//! In which regions a call may be served, and what it says kept.
+//! Regions in which a call may be served and its data stored.
 
 use std::collections::BTreeSet;
 
 use crate::{Route, RoutingTable, Tenant};
 
-/// The regions that all who restrict a call allow: its route, its tenant, or both.
+/// Regions allowed by both the route and the tenant of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HomeRegions {
-    /// None if nobody restricts it.
+    /// Allowed regions; none without a restriction.
     allowed: Option<BTreeSet<String>>,
 }
 
 impl HomeRegions {
-    /// Any region.
+    /// No restriction.
     pub const ANY: Self = Self { allowed: None };
 
-    /// The regions for a call of a route by a tenant.
+    /// Returns the regions allowed for a tenant's calls of a route.
     #[must_use]
     pub fn of(route: &Route, tenant: Option<&Tenant>) -> Self {
         let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions);
         let lists = [&route.home_regions[..], of_tenant];
-        let restricting = lists.into_iter().filter(|list| !list.is_empty());
-        let allowed = restricting
+        let restrictions = lists.into_iter().filter(|list| !list.is_empty());
+        let allowed = restrictions
             .map(|list| list.iter().cloned().collect::<BTreeSet<_>>())
             .reduce(|left, right| &left & &right);
         Self { allowed }
     }
 
-    /// Whether anybody restricts the call.
+    /// Whether the call is restricted to regions.
     #[must_use]
     pub fn is_restricted(&self) -> bool {
         self.allowed.is_some()
     }
 
-    /// Whether a place may serve the call or keep what it says. Where it isn't known in which region a place
-    /// is, nothing that is restricted may go there.
+    /// Whether a location in this region may serve the call or store its data. An unknown region is
+    /// only allowed without a restriction.
     #[must_use]
     pub fn allows(&self, region: Option<&str>) -> bool {
         match (&self.allowed, region) {
--- a/crates/courseshed-routing/src/lib.rs
+++ b/crates/courseshed-routing/src/lib.rs
@@ -1,8 +1,8 @@
-//! The versioned routing table: which service a call belongs to, and within which limits.
+//! The versioned routing table, which maps calls to services and defines their limits.
 //!
-//! Operators replace the table whole. A table is checked before it is accepted ([`RoutingTable::check`]),
-//! the highest version is the one in force, and a gateway never goes back to a lower one.
-//! The crate does no I/O.
+//! Operators replace the table as a whole. A new table is validated ([`RoutingTable::check`])
+//! before it is accepted. The highest version is in force, and gateways never return to a lower
+//! one. The crate does no I/O.
 
 mod check;
 mod home;
--- a/crates/courseshed-routing/src/matching.rs
+++ b/crates/courseshed-routing/src/matching.rs
@@ -1,11 +1,12 @@
-//! Finding the route of a call.
+//! Route lookup.
 
 use std::sync::Arc;
 
 use crate::{Route, RoutingTable};
 
 impl RoutingTable {
-    /// The route of a call: of the routes of its host, the one whose prefix begins the path and is longest.
+    /// Returns the route of a call: among the routes of its host, the one with the longest prefix
+    /// of the path.
     #[must_use]
     pub fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = without_port(host);
--- a/crates/courseshed-routing/src/split.rs
+++ b/crates/courseshed-routing/src/split.rs
@@ -1,38 +1,39 @@
-//! Keeping the calls of a route to the weights of its parts.
+//! Weighted traffic splits.
 
 use std::collections::BTreeMap;
 
 use crate::Target;
 
-/// Smooth weighted turns: of any run of calls, each part gets its share to within one call.
+/// Smooth weighted round robin: in any sequence of calls, each target receives its share to within
+/// one call.
 ///
-/// Each call adds every part's weight to that part's credit, and the part with the largest credit
-/// gets the call and pays the sum of all weights.
+/// Each call adds every target's weight to its credit. The target with the largest credit receives
+/// the call, and the sum of all weights is deducted from its credit.
 #[derive(Clone, Debug, Default)]
 pub struct SplitCounter {
     credits: BTreeMap<String, f64>,
 }
 
 impl SplitCounter {
-    /// Starts at a phase between 0 and 1, so that many gateways don't all begin with the same part.
+    /// Starts at a phase from 0 to 1, so that gateways don't all begin with the same target.
     #[must_use]
     pub fn with_phase(targets: &[Target], phase: f64) -> Self {
         let total: f64 = targets.iter().map(|target| target.weight).sum();
         let mut counter = Self::default();
-        let mut left = phase * total;
+        let mut remaining = phase * total;
         for target in targets {
-            let credit = if left >= 0.0 && left < target.weight {
+            let credit = if remaining >= 0.0 && remaining < target.weight {
                 total / 2.0
             } else {
                 0.0
             };
             counter.credits.insert(target.service.clone(), credit);
-            left -= target.weight;
+            remaining -= target.weight;
         }
         counter
     }
 
-    /// The index of the part that the next call goes to; none without parts of any weight.
+    /// Index of the target for the next call; none if no target has a positive weight.
     pub fn next(&mut self, targets: &[Target]) -> Option<usize> {
         let total: f64 = targets.iter().map(|target| target.weight).sum();
         let mut best: Option<(usize, f64)> = None;
--- a/crates/courseshed-routing/src/table.rs
+++ b/crates/courseshed-routing/src/table.rs
@@ -1,4 +1,4 @@
-//! What a routing table holds.
+//! Contents of a routing table.
 
 use std::sync::Arc;
 
@@ -6,65 +6,65 @@
 
 use crate::Tenant;
 
-/// What may be repeated of a call.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum CallKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Repeatable,
-    /// May run once for each request id.
+    /// May be executed at most once per request id.
     AtMostOnce,
-    /// Answered by a series of events; runs once unless the route is resumable.
+    /// Answered by a stream of events; executed once unless the route is resumable.
     Stream,
 }
 
-/// One weighted part of a route.
+/// A weighted target of a route.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Target {
     /// Name of a service of the same table.
     pub service: String,
-    /// Share of the route's calls, relative to the other parts.
+    /// Weight of the target relative to the route's other targets.
     pub weight: f64,
 }
 
-/// One route: calls of a host whose path begins with a prefix.
+/// A route: calls of a host whose path begins with a prefix.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Route {
-    /// The operator's name for it.
+    /// Name of the route.
     pub name: String,
-    /// Host the call must name, without a port.
+    /// Host of the calls, without a port.
     pub host: String,
-    /// Prefix the path must begin with; it ends with a slash.
+    /// Prefix of the calls' paths; begins and ends with a slash.
     pub path_prefix: String,
-    /// What may be repeated.
+    /// Whether requests may be executed more than once.
     pub kind: CallKind,
-    /// Longest time that a call is held, in milliseconds.
+    /// Maximum duration of a call, in milliseconds.
     pub timeout_ms: u64,
-    /// Time within which an answer counts in full, in milliseconds; to the first event of a stream.
+    /// Target latency in milliseconds; for streams, of the first event.
     pub aim_ms: u64,
-    /// Rank; 0 is served first.
+    /// Rank of the calls; 0 is the most urgent.
     pub priority: u32,
-    /// The services that serve it.
+    /// Weighted target services.
     pub targets: Vec<Target>,
-    /// Largest number of servers that one request id may be sent to.
+    /// Maximum number of servers that a request may be sent to.
     pub max_attempts: u32,
-    /// Whether turns are kept, so that later ones bring only what is new.
+    /// Whether turns are stored, so that later turns only send what is new.
     pub keeps_turns: bool,
-    /// How long turns and programs are kept after their last use, in milliseconds.
+    /// Retention of turns and programs after their last use, in milliseconds.
     pub retention_ms: u64,
-    /// Whether a server that saw the same thing lately works faster.
+    /// Whether servers are faster if they have recently seen the same content.
     pub affinity: bool,
-    /// Whether a broken stream may be taken up at another server.
+    /// Whether an interrupted stream may be resumed on another server.
     pub resumable: bool,
-    /// Whether it is served without a key where tenants are listed.
+    /// Whether the route needs no key in a table with tenants.
     #[serde(default)]
     pub is_public: bool,
-    /// Regions to which serving its calls and keeping what they say is restricted; none if it isn't.
+    /// Regions in which calls may be served and their data stored; empty without a restriction.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
 impl Route {
-    /// Whether the same request may be sent to a second server after the first may have run it.
+    /// Whether a request may be sent to a second server after the first may have executed it.
     #[must_use]
     pub fn is_idempotent(&self) -> bool {
         match self.kind {
@@ -75,50 +75,50 @@
     }
 }
 
-/// What the engines of a service can bear.
+/// Capacity of the engines of a service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct EngineLimits {
-    /// Calls that run at once on one engine.
+    /// Number of calls that one engine runs concurrently.
     pub slots: u32,
-    /// Tokens that one event of a stream stands for.
+    /// Number of tokens per event of a stream.
     pub tokens_per_event: u64,
-    /// Tokens of prompts and answers that the memory of one engine holds; none if that isn't known.
+    /// Memory of one engine for prompts and answers, in tokens; none if unknown.
     #[serde(default)]
     pub memory_tokens: Option<u64>,
 }
 
-/// A service: servers that are alike.
+/// A service: a group of interchangeable servers.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Service {
-    /// Its name.
+    /// Name of the service.
     pub name: String,
-    /// Connections that one server accepts from all callers together.
+    /// Maximum number of connections to one server, over all callers.
     pub connection_limit: u32,
-    /// What its engines can bear, for a service of model engines.
+    /// Capacity of its engines; only for services of inference engines.
     pub engine: Option<EngineLimits>,
-    /// Requests that a server bears in a second while it is cold, all callers together; none if it bears all.
+    /// Maximum request rate of a server during warm-up, over all callers; none if unlimited.
     #[serde(default)]
     pub cold_per_s: Option<f64>,
 }
 
 impl Service {
-    /// Whether its servers bear little while they are cold.
+    /// Whether the request rate of servers is limited during warm-up.
     #[must_use]
     pub fn bounds_cold_servers(&self) -> bool {
         self.cold_per_s.is_some()
     }
 }
 
-/// Bounds on what callers may send.
+/// Limits on callers' requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallLimits {
-    /// Largest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: usize,
-    /// Largest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// How long the head of a request may take to arrive, in milliseconds.
+    /// Time limit for receiving a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may rest, in milliseconds.
+    /// Idle timeout of connections, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -133,32 +133,32 @@
     }
 }
 
-/// Routes, services and limits: what operators replace as a whole.
+/// Routes, services, limits and tenants; replaced as a whole.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct RoutingTable {
     /// The routes, in no particular order.
     pub routes: Vec<Arc<Route>>,
     /// The services.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests.
     pub limits: CallLimits,
-    /// Who may call, by keys; none where calls need no key.
+    /// Tenants that may call; none if calls need no key.
     #[serde(default)]
     pub tenants: Option<Vec<Arc<Tenant>>>,
 }
 
 impl RoutingTable {
-    /// The service of a name.
+    /// Returns the service with this name.
     #[must_use]
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.iter().find(|service| service.name == name)
     }
 }
 
-/// A table with its version.
+/// A routing table with its version.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct VersionedTable {
-    /// Grows with each accepted change, in uneven steps.
+    /// Increases with each accepted change, not necessarily by one.
     pub version: u64,
     /// The table.
     pub table: RoutingTable,
--- a/crates/courseshed-routing/src/tenant.rs
+++ b/crates/courseshed-routing/src/tenant.rs
@@ -1,7 +1,6 @@
-//! Tenants: who may call, by which keys, and how often.
+//! Tenants, their keys and request quotas.
 //!
-//! A key itself is never kept here, only its digest, so that neither a dump of a gateway's memory nor
-//! a log line gives a key away.
+//! Only the digests of keys are stored, so that memory dumps and logs can't disclose a key.
 
 use std::sync::Arc;
 
@@ -11,53 +10,53 @@
 
 use crate::RoutingTable;
 
-/// The SHA-256 digest of a tenant's key.
+/// SHA-256 digest of a tenant's key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct KeyDigest([u8; 32]);
 
 impl KeyDigest {
-    /// The digest of a key.
+    /// Digest of a key.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
         Self(Sha256::digest(key).into())
     }
 
-    /// Whether both are of the same key; takes the same time whatever they hold.
+    /// Compares two digests in constant time.
     #[must_use]
     pub fn is_same(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
 
-/// How many requests of a tenant may be sent to servers.
+/// Rate limit for a tenant's requests.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct RequestQuota {
-    /// Requests a second, in the long run.
+    /// Sustained rate, in requests per second.
     pub rate_per_s: f64,
-    /// Requests beyond that which may come at once.
+    /// Burst: number of requests in excess of the sustained rate.
     pub burst: f64,
 }
 
-/// One tenant.
+/// A tenant.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Its name, which servers are told.
+    /// Name of the tenant; sent to servers.
     pub name: String,
-    /// Digests of its keys.
+    /// Digests of the tenant's keys.
     pub keys: Vec<KeyDigest>,
-    /// Its rank, which goes before that of a route; 0 is served first.
+    /// Rank that overrides the route's; 0 is the most urgent.
     pub priority: Option<u32>,
-    /// How often it may call; none if it isn't limited.
+    /// Request quota; none if unlimited.
     pub quota: Option<RequestQuota>,
-    /// Regions to which serving its calls and keeping what they say is restricted; none if it isn't.
+    /// Regions in which calls may be served and their data stored; empty without a restriction.
     #[serde(default)]
     pub home_regions: Vec<String>,
 }
 
 impl RoutingTable {
-    /// The tenant that holds a key; none if nobody does.
+    /// Returns the tenant that has this key.
     ///
-    /// Looks at all keys, found or not: some 20 ns each, so 20 us for a thousand.
+    /// Compares all keys, so that the time does not depend on which one matches.
     #[must_use]
     pub fn tenant_of(&self, key: &KeyDigest) -> Option<&Arc<Tenant>> {
         let mut found = None;
@@ -71,7 +70,7 @@
         found
     }
 
-    /// The tenant of a name.
+    /// Returns the tenant with this name.
     #[must_use]
     pub fn tenant(&self, name: &str) -> Option<&Arc<Tenant>> {
         let mut tenants = self.tenants.iter().flatten();
--- a/crates/courseshed-routing/tests/support/mod.rs
+++ b/crates/courseshed-routing/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Routes for the tests of the routing table.
+//! Routes for the tests of this crate.
 
 #![allow(dead_code)]
 
@@ -25,7 +25,7 @@
     }
 }
 
-/// A part of a route.
+/// A weighted target.
 pub fn target(service: &str, weight: f64) -> Target {
     Target {
         service: service.to_owned(),
--- a/crates/courseshed-routing/tests/table.rs
+++ b/crates/courseshed-routing/tests/table.rs
@@ -1,4 +1,4 @@
-//! Which tables are accepted, which route a call finds, and how splits keep to their weights.
+//! Validation of tables, route lookup, tenants and weighted splits.
 
 mod support;
 
@@ -37,33 +37,33 @@
 
 #[parameterized(
     unknown_service = { |route: &mut Route| route.targets = vec![target("t", 1.0)], "unknown service" },
-    no_weight = { |route: &mut Route| route.targets = vec![target("s", 0.0)], "sum to nothing" },
-    no_target = { |route: &mut Route| route.targets.clear(), "sum to nothing" },
-    negative_weight = { |route: &mut Route| route.targets = vec![target("s", 2.0), target("s", -1.0)], "sum to nothing" },
+    no_weight = { |route: &mut Route| route.targets = vec![target("s", 0.0)], "with a positive sum" },
+    no_target = { |route: &mut Route| route.targets.clear(), "with a positive sum" },
+    negative_weight = { |route: &mut Route| route.targets = vec![target("s", 2.0), target("s", -1.0)], "with a positive sum" },
     no_timeout = { |route: &mut Route| route.timeout_ms = 0, "is 0 ms" },
     bad_prefix = { |route: &mut Route| route.path_prefix = "/a".to_owned(), "begin and end" },
 )]
-fn a_fault_is_named(spoil: fn(&mut Route), expected: &str) {
-    let mut spoiled = route("r", "/a/");
-    spoil(&mut spoiled);
-    let error = table(vec![spoiled]).check().expect_err("a fault");
+fn invalid_tables_are_rejected(invalidate: fn(&mut Route), expected: &str) {
+    let mut invalid = route("r", "/a/");
+    invalidate(&mut invalid);
+    let error = table(vec![invalid]).check().expect_err("a table error");
     assert!(error.to_string().contains(expected), "{error}");
 }
 
 #[test]
-fn two_routes_cannot_share_a_place() {
+fn two_routes_cannot_share_host_and_prefix() {
     let error = table(vec![route("a", "/a/"), route("b", "/a/")]).check();
-    assert!(matches!(error, Err(TableError::SamePlace { .. })));
+    assert!(matches!(error, Err(TableError::DuplicateRoute { .. })));
 }
 
 #[test]
-fn each_part_gets_its_weight_within_one_call() {
+fn each_target_gets_its_weight_within_one_call() {
     let targets = [target("a", 90.0), target("b", 10.0)];
     for phase in [0.0, 0.5, 0.95] {
         let mut counter = SplitCounter::with_phase(&targets, phase);
         let mut counts = [0u32; 2];
         for _ in 0..200 {
-            counts[counter.next(&targets).expect("a part")] += 1;
+            counts[counter.next(&targets).expect("a target")] += 1;
         }
         assert!(counts[1].abs_diff(20) <= 1, "{counts:?}");
     }
@@ -100,14 +100,14 @@
     usual = { vec![tenant("a", &["k1", "k2"]), tenant("b", &["k3"])], None },
     no_keys = { vec![tenant("a", &[])], None },
     limited = { vec![with_rate(5.0, 0.0)], None },
-    shared = { vec![tenant("a", &["k1"]), tenant("b", &["k2", "k1"])], Some("tenant \"b\" has a key that tenant \"a\" has, too") },
-    twice = { vec![tenant("a", &["k1", "k1"])], Some("tenant \"a\" has a key that tenant \"a\" has, too") },
+    shared = { vec![tenant("a", &["k1"]), tenant("b", &["k2", "k1"])], Some("tenant \"b\" has a key that is already assigned to tenant \"a\"") },
+    repeated_key = { vec![tenant("a", &["k1", "k1"])], Some("tenant \"a\" has a key that is already assigned to tenant \"a\"") },
     empty_key = { vec![tenant("a", &[""])], Some("tenant \"a\" has an empty key") },
     same_name = { vec![tenant("a", &["k1"]), tenant("a", &["k2"])], Some("two tenants are named \"a\"") },
     no_name = { vec![tenant("", &["k1"])], Some("a tenant has an empty name") },
-    odd_name = { vec![tenant("a\r\nx: y", &["k1"])], Some("the name of tenant \"a\\r\\nx: y\" may hold visible ASCII characters only") },
-    negative = { vec![with_rate(-1.0, 0.0)], Some("the rate and the burst of tenant \"a\" must be 0 or more") },
-    no_number = { vec![with_rate(1.0, f64::NAN)], Some("the rate and the burst of tenant \"a\" must be 0 or more") },
+    invalid_name = { vec![tenant("a\r\nx: y", &["k1"])], Some("the name of tenant \"a\\r\\nx: y\" may only contain visible ASCII characters") },
+    negative = { vec![with_rate(-1.0, 0.0)], Some("the rate and the burst of tenant \"a\" must be finite and non-negative") },
+    no_number = { vec![with_rate(1.0, f64::NAN)], Some("the rate and the burst of tenant \"a\" must be finite and non-negative") },
 )]
 fn tenants_are_checked(tenants: Vec<Tenant>, expected: Option<&str>) {
     let fault = with_tenants(tenants).check().err();
@@ -116,26 +116,26 @@
 }
 
 #[test]
-fn a_key_finds_its_tenant_alone() {
+fn a_key_finds_only_its_tenant() {
     let table = with_tenants(vec![tenant("a", &["k1", "k2"]), tenant("b", &["k3"])]);
-    let holder = |key: &str| {
+    let tenant_name = |key: &str| {
         let tenant = table.tenant_of(&KeyDigest::of(key.as_bytes()));
         tenant.map(|tenant| tenant.name.as_str())
     };
-    assert_eq!(holder("k2"), Some("a"));
-    assert_eq!(holder("k3"), Some("b"));
-    assert_eq!(holder("k"), None);
-    assert_eq!(holder(""), None);
+    assert_eq!(tenant_name("k2"), Some("a"));
+    assert_eq!(tenant_name("k3"), Some("b"));
+    assert_eq!(tenant_name("k"), None);
+    assert_eq!(tenant_name(""), None);
 }
 
 #[parameterized(
     nobody_restricts = { &[], &[], &["north", "south"], true },
     route_alone = { &["north"], &[], &["north"], false },
     tenant_alone = { &[], &["south", "north"], &["north", "south"], false },
-    both_bind = { &["north", "south"], &["south", "east"], &["south"], false },
-    nothing_is_left = { &["north"], &["south"], &[], false },
+    both_restrict = { &["north", "south"], &["south", "east"], &["south"], false },
+    no_common_region = { &["north"], &["south"], &[], false },
 )]
-fn a_call_stays_where_its_route_and_its_tenant_allow(
+fn calls_are_restricted_to_regions_of_route_and_tenant(
     of_route: &[&str],
     of_tenant: &[&str],
     allowed: &[&str],
