--- a/crates/courseshed-routing/src/lib.rs
+++ b/crates/courseshed-routing/src/lib.rs
@@ -15,7 +15,7 @@
 pub use check::TableError;
 pub use home::HomeRegions;
 pub use parts::{
-    MOST_ITEMS, PartsTaken, RecentTables, RoutePlace, TableAssembler, TableFrame, TableItem,
+    MAX_PART_ITEMS, PartsTaken, RecentTables, RouteKey, TableAssembler, TableChange, TableGlobals,
     TablePart,
 };
 pub use split::SplitCounter;
--- a/crates/courseshed-routing/src/parts/assembler.rs
+++ b/crates/courseshed-routing/src/parts/assembler.rs
@@ -1,133 +1,134 @@
-//! Putting a version of the table together from its parts.
+//! Assembly of a table version from its parts.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use super::{Listed, PartsTaken, TableFrame, TableItem, TablePart};
+use super::{Keyed, PartsTaken, TableChange, TableGlobals, TablePart};
 use crate::{RoutingTable, VersionedTable};
 
-/// Puts a version together from its parts.
+/// Assembles a table version from its parts.
 #[derive(Debug, Default)]
 pub struct TableAssembler {
-    taken: Option<Staged>,
+    partial: Option<PartialVersion>,
 }
 
 #[derive(Debug)]
-struct Staged {
+struct PartialVersion {
     base: Option<u64>,
     version: u64,
-    items: Vec<TableItem>,
+    items: Vec<TableChange>,
 }
 
 impl TableAssembler {
-    /// The parts that were taken of a version that isn't whole yet.
+    /// Progress of the version that is being received.
     #[must_use]
     pub fn taken(&self) -> Option<PartsTaken> {
-        self.taken.as_ref().map(|staged| PartsTaken {
-            base: staged.base,
-            version: staged.version,
-            items: staged.items.len() as u32,
+        self.partial.as_ref().map(|partial| PartsTaken {
+            base: partial.base,
+            version: partial.version,
+            items: partial.items.len() as u32,
         })
     }
 
-    /// Takes a part, and returns the version once it is whole. A part that doesn't go on from what was taken, or
-    /// changes another version than the one held, is dropped with all before it: the next question then
-    /// asks anew.
+    /// Adds a part, and returns the version once it is complete. A part that does not continue the
+    /// previous one, or does not apply to the held version, is dropped together with all previous
+    /// parts; the next request then starts over.
     pub fn take(
         &mut self,
         held: Option<&VersionedTable>,
         part: TablePart,
     ) -> Option<VersionedTable> {
         let held_version = held.map(|held| held.version);
-        let changes_held = part.base.is_none() || part.base == held_version;
-        if !changes_held || held_version >= Some(part.version) {
-            self.taken = None;
+        let applies_to_held = part.base.is_none() || part.base == held_version;
+        if !applies_to_held || held_version >= Some(part.version) {
+            self.partial = None;
             return None;
         }
-        let mut staged = self.go_on(&part)?;
-        staged.items.extend(part.items);
-        let Some(frame) = part.frame else {
-            self.taken = Some(staged);
+        let mut partial = self.resume(&part)?;
+        partial.items.extend(part.items);
+        let Some(globals) = part.globals else {
+            self.partial = Some(partial);
             return None;
         };
-        let base = held.filter(|_| staged.base.is_some());
-        Some(put_together(base, staged, frame))
+        let base = held.filter(|_| partial.base.is_some());
+        Some(assemble(base, partial, globals))
     }
 
-    fn go_on(&mut self, part: &TablePart) -> Option<Staged> {
-        let taken = self.taken.take();
-        if part.first == 0 {
-            return Some(Staged {
+    fn resume(&mut self, part: &TablePart) -> Option<PartialVersion> {
+        let partial = self.partial.take();
+        if part.offset == 0 {
+            return Some(PartialVersion {
                 base: part.base,
                 version: part.version,
                 items: Vec::new(),
             });
         }
-        taken.filter(|staged| {
-            staged.base == part.base
-                && staged.version == part.version
-                && staged.items.len() == part.first as usize
+        partial.filter(|partial| {
+            partial.base == part.base
+                && partial.version == part.version
+                && partial.items.len() == part.offset as usize
         })
     }
 }
 
-fn put_together(
+fn assemble(
     base: Option<&VersionedTable>,
-    staged: Staged,
-    frame: TableFrame,
+    partial: PartialVersion,
+    globals: TableGlobals,
 ) -> VersionedTable {
     let table = base.map(|base| base.table.clone()).unwrap_or_default();
-    let mut routes = ListInWork::new(table.routes);
-    let mut tenants = ListInWork::new(table.tenants.unwrap_or_default());
-    for item in staged.items {
+    let mut routes = KeyedList::new(table.routes);
+    let mut tenants = KeyedList::new(table.tenants.unwrap_or_default());
+    for item in partial.items {
         match item {
-            TableItem::Route(route) => routes.put(route),
-            TableItem::NoRoute(place) => routes.take_out(place),
-            TableItem::Tenant(tenant) => tenants.put(tenant),
-            TableItem::NoTenant(name) => tenants.take_out(name),
+            TableChange::PutRoute(route) => routes.put(route),
+            TableChange::RemoveRoute(key) => routes.remove(key),
+            TableChange::PutTenant(tenant) => tenants.put(tenant),
+            TableChange::RemoveTenant(name) => tenants.remove(name),
         }
     }
     VersionedTable {
-        version: staged.version,
+        version: partial.version,
         table: RoutingTable {
             routes: routes.finish(),
-            services: frame.services,
-            limits: frame.limits,
-            tenants: frame.has_tenants.then(|| tenants.finish()),
+            services: globals.services,
+            limits: globals.limits,
+            tenants: globals.has_tenants.then(|| tenants.finish()),
         },
     }
 }
 
-/// A list of a table while changes are put into it.
-struct ListInWork<T: Listed> {
+/// A list of table elements that changes are applied to.
+struct KeyedList<T: Keyed> {
     items: Vec<Arc<T>>,
-    places: HashMap<T::Key, usize>,
-    gone: HashSet<T::Key>,
+    positions: HashMap<T::Key, usize>,
+    removed: HashSet<T::Key>,
 }
 
-impl<T: Listed> ListInWork<T> {
+impl<T: Keyed> KeyedList<T> {
     fn new(items: Vec<Arc<T>>) -> Self {
         let keys = items.iter().map(|item| item.key());
         Self {
-            places: keys.zip(0..).collect(),
-            gone: HashSet::new(),
+            positions: keys.zip(0..).collect(),
+            removed: HashSet::new(),
             items,
         }
     }
 
     fn put(&mut self, item: Arc<T>) {
-        match self.places.get(&item.key()) {
-            Some(place) => self.items[*place] = item,
+        match self.positions.get(&item.key()) {
+            Some(position) => self.items[*position] = item,
             None => self.items.push(item),
         }
     }
 
-    fn take_out(&mut self, key: T::Key) {
-        self.gone.insert(key);
+    fn remove(&mut self, key: T::Key) {
+        self.removed.insert(key);
     }
 
     fn finish(mut self) -> Vec<Arc<T>> {
-        self.items.retain(|item| !self.gone.contains(&item.key()));
+        self.items
+            .retain(|item| !self.removed.contains(&item.key()));
         self.items
     }
 }
--- a/crates/courseshed-routing/src/parts/delta.rs
+++ b/crates/courseshed-routing/src/parts/delta.rs
@@ -1,9 +1,9 @@
-//! The difference between two versions of the table.
+//! Differences between two versions of the table.
 
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use super::{Listed, MOST_ITEMS, TableFrame, TableItem, TablePart, is_same};
+use super::{Keyed, MAX_PART_ITEMS, TableChange, TableGlobals, TablePart, is_equal};
 use crate::{RoutingTable, VersionedTable};
 
 /// The difference between two versions.
@@ -11,12 +11,12 @@
 pub(super) struct TableDelta {
     pub(super) base: Option<u64>,
     pub(super) version: u64,
-    items: Vec<TableItem>,
-    frame: TableFrame,
+    items: Vec<TableChange>,
+    globals: TableGlobals,
 }
 
 impl TableDelta {
-    /// From a version, or from an empty table, to the next.
+    /// Computes the difference between a version, or an empty table, and a later version.
     pub(super) fn between(base: Option<&VersionedTable>, next: &VersionedTable) -> Self {
         let empty = RoutingTable::default();
         let before = base.map_or(&empty, |base| &base.table);
@@ -25,14 +25,14 @@
         push_changes(&mut items, &before.routes, &after.routes);
         push_changes(
             &mut items,
-            before.tenants_or_none(),
-            after.tenants_or_none(),
+            before.tenants_or_empty(),
+            after.tenants_or_empty(),
         );
         Self {
             base: base.map(|base| base.version),
             version: next.version,
             items,
-            frame: TableFrame {
+            globals: TableGlobals {
                 services: after.services.clone(),
                 limits: after.limits,
                 has_tenants: after.tenants.is_some(),
@@ -40,36 +40,40 @@
         }
     }
 
-    /// The part that begins behind so many items.
-    pub(super) fn part(&self, first: usize) -> TablePart {
-        let first = first.min(self.items.len());
-        let end = (first + MOST_ITEMS).min(self.items.len());
+    /// Returns the part that starts at item `offset`.
+    pub(super) fn part(&self, offset: usize) -> TablePart {
+        let offset = offset.min(self.items.len());
+        let end = (offset + MAX_PART_ITEMS).min(self.items.len());
         let is_last = end == self.items.len();
         TablePart {
             base: self.base,
             version: self.version,
-            first: first as u32,
-            items: self.items[first..end].to_vec(),
-            frame: is_last.then(|| self.frame.clone()),
+            offset: offset as u32,
+            items: self.items[offset..end].to_vec(),
+            globals: is_last.then(|| self.globals.clone()),
         }
     }
 }
 
 impl RoutingTable {
-    fn tenants_or_none(&self) -> &[Arc<crate::Tenant>] {
+    fn tenants_or_empty(&self) -> &[Arc<crate::Tenant>] {
         self.tenants.as_deref().unwrap_or(&[])
     }
 }
 
-/// Adds what is gone, then what is new or changed.
-fn push_changes<T: Listed>(items: &mut Vec<TableItem>, before: &[Arc<T>], after: &[Arc<T>]) {
-    let held: HashMap<T::Key, &Arc<T>> = before.iter().map(|item| (item.key(), item)).collect();
-    let kept: HashSet<T::Key> = after.iter().map(|item| item.key()).collect();
-    let gone = before.iter().map(|item| item.key());
-    items.extend(gone.filter(|key| !kept.contains(key)).map(T::unlisted));
+/// Appends removals, then additions and replacements.
+fn push_changes<T: Keyed>(items: &mut Vec<TableChange>, before: &[Arc<T>], after: &[Arc<T>]) {
+    let previous: HashMap<T::Key, &Arc<T>> = before.iter().map(|item| (item.key(), item)).collect();
+    let remaining_keys: HashSet<T::Key> = after.iter().map(|item| item.key()).collect();
+    let previous_keys = before.iter().map(|item| item.key());
+    items.extend(
+        previous_keys
+            .filter(|key| !remaining_keys.contains(key))
+            .map(T::removal),
+    );
     let changed = after.iter().filter(|item| {
-        let known = held.get(&item.key());
-        known.is_none_or(|known| !is_same(known, item))
+        let old = previous.get(&item.key());
+        old.is_none_or(|old| !is_equal(old, item))
     });
-    items.extend(changed.cloned().map(T::listed));
+    items.extend(changed.cloned().map(T::replacement));
 }
--- a/crates/courseshed-routing/src/parts/mod.rs
+++ b/crates/courseshed-routing/src/parts/mod.rs
@@ -1,12 +1,12 @@
-//! Telling a routing table in parts, as what changed since a version that the follower has. Pure.
+//! Incremental transfer of routing tables in bounded parts.
 //!
-//! A table is replaced whole, but mostly differs in a route or two from the one before. Told whole to each of some
-//! hundred followers, two versions a second of a table of 500 routes fill a link of 86 Mbit/s.
+//! Tables are replaced as a whole, but usually differ from the previous version in a few routes.
+//! Sending only the changes avoids filling the followers' links with unchanged routes.
 //!
-//! Invariants: a version is put together only from all of its parts, and then equals the one that was told but for
-//! the order of routes and tenants; a part holds at most [`MOST_ITEMS`] things, so that it arrives while its answer
-//! is still waited for; controllers with the same two versions tell the same parts, so a follower may take
-//! the next one from another controller.
+//! Invariants: a version is assembled only from all of its parts, and then equals the original
+//! except for the order of routes and tenants. A part has at most [`MAX_PART_ITEMS`] items, so that
+//! it arrives before the request for it times out. Controllers that have the same two versions
+//! produce the same parts, so a follower may fetch the next part from another controller.
 
 mod assembler;
 mod delta;
@@ -21,37 +21,41 @@
 
 use crate::{CallLimits, Route, Service, Tenant};
 
-/// Routes and tenants that one part holds: some 30 KB.
-pub const MOST_ITEMS: usize = 128;
+/// Maximum number of routes and tenants in one part.
+pub const MAX_PART_ITEMS: usize = 128;
 
-/// Where a route is found: no two of a table share it.
+/// Host and path prefix, which identify a route within a table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct RoutePlace {
-    /// The host.
+pub struct RouteKey {
+    /// Host of the route.
     pub host: String,
-    /// The prefix of the path.
+    /// Path prefix of the route.
     pub path_prefix: String,
 }
 
-/// One thing that differs between two tables.
+/// A difference between two tables.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub enum TableItem {
-    /// The route at its place is this one.
-    Route(Arc<Route>),
-    /// There is no route at a place.
-    NoRoute(RoutePlace),
-    /// The tenant of its name is this one.
-    Tenant(Arc<Tenant>),
-    /// There is no tenant of a name.
-    NoTenant(String),
+pub enum TableChange {
+    /// Adds or replaces a route.
+    #[serde(rename = "Route")]
+    PutRoute(Arc<Route>),
+    /// Removes a route.
+    #[serde(rename = "NoRoute")]
+    RemoveRoute(RouteKey),
+    /// Adds or replaces a tenant.
+    #[serde(rename = "Tenant")]
+    PutTenant(Arc<Tenant>),
+    /// Removes a tenant, given its name.
+    #[serde(rename = "NoTenant")]
+    RemoveTenant(String),
 }
 
-/// What of a table isn't told item by item.
+/// Contents of a table that are transferred as a whole.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TableFrame {
+pub struct TableGlobals {
     /// The services.
     pub services: Vec<Service>,
-    /// Bounds on what callers may send.
+    /// Limits on callers' requests.
     pub limits: CallLimits,
     /// Whether calls need keys.
     pub has_tenants: bool,
@@ -60,79 +64,81 @@
 /// A part of the difference between two versions of the table.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TablePart {
-    /// The version that it changes; none for an empty table.
+    /// The version that the changes apply to; none for an empty table.
     pub base: Option<u64>,
-    /// The version that comes of it.
+    /// The version that results from all parts.
     pub version: u64,
-    /// How many items came before.
-    pub first: u32,
-    /// The next ones, in the order in which all controllers tell them.
-    pub items: Vec<TableItem>,
-    /// In the last part, what isn't told item by item.
-    pub frame: Option<TableFrame>,
+    /// Number of items in the preceding parts.
+    #[serde(rename = "first")]
+    pub offset: u32,
+    /// Items of this part, in an order that is the same for all controllers.
+    pub items: Vec<TableChange>,
+    /// Remaining contents of the table; only in the last part.
+    #[serde(rename = "frame")]
+    pub globals: Option<TableGlobals>,
 }
 
-/// The parts of a version that a follower has taken.
+/// A follower's progress in receiving the parts of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PartsTaken {
-    /// The version that they change; none for an empty table.
+    /// The version that the changes apply to; none for an empty table.
     pub base: Option<u64>,
-    /// The version that will come of them.
+    /// The version that results from all parts.
     pub version: u64,
-    /// How many items they hold.
+    /// Number of items received.
     pub items: u32,
 }
 
-/// What a table lists under keys, each key once.
-trait Listed: PartialEq {
-    /// What it is listed under.
+/// An element of a table that is identified by a unique key.
+trait Keyed: PartialEq {
+    /// Type of the key.
     type Key: Clone + Eq + std::hash::Hash;
 
     fn key(&self) -> Self::Key;
 
-    /// Says that a table lists it.
-    fn listed(item: Arc<Self>) -> TableItem;
+    /// The change that adds or replaces the element.
+    fn replacement(item: Arc<Self>) -> TableChange;
 
-    /// Says that a table lists nothing under a key.
-    fn unlisted(key: Self::Key) -> TableItem;
+    /// The change that removes the element.
+    fn removal(key: Self::Key) -> TableChange;
 }
 
-impl Listed for Route {
-    type Key = RoutePlace;
+impl Keyed for Route {
+    type Key = RouteKey;
 
-    fn key(&self) -> RoutePlace {
-        RoutePlace {
+    fn key(&self) -> RouteKey {
+        RouteKey {
             host: self.host.clone(),
             path_prefix: self.path_prefix.clone(),
         }
     }
 
-    fn listed(item: Arc<Self>) -> TableItem {
-        TableItem::Route(item)
+    fn replacement(item: Arc<Self>) -> TableChange {
+        TableChange::PutRoute(item)
     }
 
-    fn unlisted(key: RoutePlace) -> TableItem {
-        TableItem::NoRoute(key)
+    fn removal(key: RouteKey) -> TableChange {
+        TableChange::RemoveRoute(key)
     }
 }
 
-impl Listed for Tenant {
+impl Keyed for Tenant {
     type Key = String;
 
     fn key(&self) -> String {
         self.name.clone()
     }
 
-    fn listed(item: Arc<Self>) -> TableItem {
-        TableItem::Tenant(item)
+    fn replacement(item: Arc<Self>) -> TableChange {
+        TableChange::PutTenant(item)
     }
 
-    fn unlisted(key: String) -> TableItem {
-        TableItem::NoTenant(key)
+    fn removal(key: String) -> TableChange {
+        TableChange::RemoveTenant(key)
     }
 }
 
-/// Whether both are alike; the same one is without a look.
-fn is_same<T: PartialEq>(left: &Arc<T>, right: &Arc<T>) -> bool {
+/// Compares two elements, without a deep comparison if they are the same allocation.
+fn is_equal<T: PartialEq>(left: &Arc<T>, right: &Arc<T>) -> bool {
     Arc::ptr_eq(left, right) || left == right
 }
--- a/crates/courseshed-routing/src/parts/recent.rs
+++ b/crates/courseshed-routing/src/parts/recent.rs
@@ -1,20 +1,20 @@
-//! The newest versions of the table, and the parts that followers lack of them.
+//! Recent versions of the table, and the parts that followers lack.
 
 use std::collections::{HashMap, VecDeque};
 use std::sync::Arc;
 
 use super::delta::TableDelta;
-use super::{Listed, PartsTaken, TablePart, is_same};
+use super::{Keyed, PartsTaken, TablePart, is_equal};
 use crate::VersionedTable;
 
-/// Versions that are remembered to tell changes from. Who holds an older one is told all of the newest: a follower
-/// that missed 64 changes was away for 20 s of the quickest series that operators send.
-const REMEMBERED_TABLES: usize = 64;
+/// Number of versions kept as bases for differences. Followers with an older version receive the
+/// complete table.
+const MAX_TABLES: usize = 64;
 
-/// Pairs of versions whose difference is kept, since many followers ask for the same one.
-const REMEMBERED_DELTAS: usize = 16;
+/// Number of differences cached; many followers request the same ones.
+const MAX_DELTAS: usize = 16;
 
-/// The newest versions of the table, from which followers are told what they lack.
+/// Recent versions of the table, from which followers receive the changes they lack.
 #[derive(Debug, Default)]
 pub struct RecentTables {
     tables: VecDeque<Arc<VersionedTable>>,
@@ -22,21 +22,21 @@
 }
 
 impl RecentTables {
-    /// Takes in a version; an older one than the newest changes nothing.
+    /// Adds a version; ignored unless it is newer than all others.
     pub fn push(&mut self, table: &VersionedTable) {
         let newest = self.tables.back();
         if newest.is_some_and(|newest| newest.version >= table.version) {
             return;
         }
-        let shared = share_routes(table, newest.map(|newest| &**newest));
+        let shared = share_unchanged_routes(table, newest.map(|newest| &**newest));
         self.tables.push_back(Arc::new(shared));
-        if self.tables.len() > REMEMBERED_TABLES {
+        if self.tables.len() > MAX_TABLES {
             self.tables.pop_front();
         }
     }
 
-    /// What a follower is told next that holds a version and has taken some parts of a later one; none if
-    /// nothing is newer.
+    /// Next part for a follower that holds a version and may have received parts of a later one;
+    /// none if nothing is newer.
     pub fn part_for(&mut self, held: Option<u64>, taken: Option<PartsTaken>) -> Option<TablePart> {
         if let Some(taken) = taken
             && let Some(delta) = self.delta(taken.base, taken.version)
@@ -52,17 +52,18 @@
     }
 
     fn table(&self, version: u64) -> Option<&Arc<VersionedTable>> {
-        let place = self
+        let index = self
             .tables
             .binary_search_by_key(&version, |table| table.version);
-        place.ok().map(|place| &self.tables[place])
+        index.ok().map(|index| &self.tables[index])
     }
 
-    /// The difference between two versions; none if one of them isn't remembered.
+    /// Difference between two versions; none if one of them is no longer kept.
     fn delta(&mut self, base: Option<u64>, version: u64) -> Option<Arc<TableDelta>> {
-        let is_wanted = |delta: &&Arc<TableDelta>| delta.base == base && delta.version == version;
-        if let Some(known) = self.deltas.iter().find(is_wanted) {
-            return Some(known.clone());
+        let is_requested =
+            |delta: &&Arc<TableDelta>| delta.base == base && delta.version == version;
+        if let Some(existing) = self.deltas.iter().find(is_requested) {
+            return Some(existing.clone());
         }
         let base = match base {
             Some(base) => Some(self.table(base)?),
@@ -71,16 +72,18 @@
         let next = self.table(version)?;
         let delta = Arc::new(TableDelta::between(base.map(|base| &**base), next));
         self.deltas.push_back(delta.clone());
-        if self.deltas.len() > REMEMBERED_DELTAS {
+        if self.deltas.len() > MAX_DELTAS {
             self.deltas.pop_front();
         }
         Some(delta)
     }
 }
 
-/// The same table, in which routes that didn't change are those of the version before: what is remembered then
-/// needs the room of what changed.
-fn share_routes(table: &VersionedTable, before: Option<&VersionedTable>) -> VersionedTable {
+/// Copies a table, sharing unchanged routes with the previous version to save memory.
+fn share_unchanged_routes(
+    table: &VersionedTable,
+    before: Option<&VersionedTable>,
+) -> VersionedTable {
     let mut shared = table.clone();
     let Some(before) = before else {
         return shared;
@@ -88,10 +91,10 @@
     let routes = before.table.routes.iter();
     let held: HashMap<_, _> = routes.map(|route| (route.key(), route)).collect();
     for route in &mut shared.table.routes {
-        if let Some(known) = held.get(&route.key())
-            && is_same(known, route)
+        if let Some(existing) = held.get(&route.key())
+            && is_equal(existing, route)
         {
-            *route = (*known).clone();
+            *route = (*existing).clone();
         }
     }
     shared
--- a/crates/courseshed-routing/tests/parts.rs
+++ b/crates/courseshed-routing/tests/parts.rs
@@ -1,4 +1,5 @@
-//! A table that is told in parts is the table that was told, whatever changed and whoever tells.
+//! Transfer of routing tables in parts: guards against followers that end up with another table
+//! than the controllers have.
 
 mod support;
 
@@ -6,8 +7,8 @@
 use std::sync::Arc;
 
 use courseshed_routing::{
-    KeyDigest, MOST_ITEMS, PartsTaken, RecentTables, Route, RoutingTable, Service, TableAssembler,
-    Tenant, VersionedTable,
+    KeyDigest, MAX_PART_ITEMS, PartsTaken, RecentTables, Route, RoutingTable, Service,
+    TableAssembler, Tenant, VersionedTable,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -30,15 +31,15 @@
     })
 }
 
-/// What an operator has in mind: routes and tenants by number.
+/// Routes and tenants by number, from which tables are built.
 #[derive(Clone, Default)]
-struct Plan {
+struct TablePlan {
     version: u64,
     routes: BTreeMap<u32, Arc<Route>>,
     tenants: Option<BTreeMap<u32, Arc<Tenant>>>,
 }
 
-impl Plan {
+impl TablePlan {
     fn with_routes(version: u64, count: u32) -> Self {
         Self {
             version,
@@ -67,15 +68,15 @@
         }
     }
 
-    /// Changes a few things at random, now and then many.
+    /// Applies random changes, occasionally many.
     fn change(&mut self, random: &mut ChaCha8Rng) {
         self.version += 1 + u64::from(random.next_u32() % 3);
-        let steps = if random.next_u32().is_multiple_of(8) {
+        let max_changes = if random.next_u32().is_multiple_of(8) {
             400
         } else {
             3
         };
-        for _ in 0..random.next_u32() % steps {
+        for _ in 0..random.next_u32() % max_changes {
             let number = random.next_u32() % 600;
             if random.next_u32().is_multiple_of(3) {
                 self.routes.remove(&number);
@@ -103,8 +104,8 @@
     }
 }
 
-/// The same table with routes and tenants in one order.
-fn in_order(mut table: VersionedTable) -> VersionedTable {
+/// Sorts routes and tenants, so that tables can be compared.
+fn sorted(mut table: VersionedTable) -> VersionedTable {
     table
         .table
         .routes
@@ -115,7 +116,7 @@
     table
 }
 
-/// A follower: what it holds, and the parts of what comes next.
+/// A follower with its current table and the parts of the next one.
 #[derive(Default)]
 struct Follower {
     held: Option<VersionedTable>,
@@ -123,13 +124,13 @@
 }
 
 impl Follower {
-    /// Asks once; false if nothing was newer.
-    fn ask(&mut self, controller: &mut RecentTables) -> bool {
+    /// Requests one part; returns false if nothing is newer.
+    fn request_part(&mut self, controller: &mut RecentTables) -> bool {
         let held = self.held.as_ref().map(|held| held.version);
         let Some(part) = controller.part_for(held, self.assembler.taken()) else {
             return false;
         };
-        assert!(part.items.len() <= MOST_ITEMS);
+        assert!(part.items.len() <= MAX_PART_ITEMS);
         if let Some(whole) = self.assembler.take(self.held.as_ref(), part) {
             assert!(Some(whole.version) > held);
             self.held = Some(whole);
@@ -137,21 +138,21 @@
         true
     }
 
-    fn ask_all(&mut self, controller: &mut RecentTables) -> usize {
-        let mut asked = 0;
-        while self.ask(controller) {
-            asked += 1;
-            assert!(asked < 10_000, "it never ends");
+    fn request_all(&mut self, controller: &mut RecentTables) -> usize {
+        let mut requests = 0;
+        while self.request_part(controller) {
+            requests += 1;
+            assert!(requests < 10_000, "the transfer does not end");
         }
-        asked
+        requests
     }
 }
 
 #[test]
-fn a_follower_holds_what_was_told_after_any_changes() {
+fn followers_receive_the_same_table_after_random_changes() {
     for seed in 0..40 {
         let mut random = ChaCha8Rng::seed_from_u64(seed);
-        let mut plan = Plan::with_routes(1, 300);
+        let mut plan = TablePlan::with_routes(1, 300);
         let mut tables = BTreeMap::new();
         let mut controllers = [RecentTables::default(), RecentTables::default()];
         let mut followers = [
@@ -162,7 +163,7 @@
         for _ in 0..150 {
             let table = plan.table();
             tables.insert(table.version, table.clone());
-            // One controller may lag behind, and skips what it was never shown.
+            // The second controller skips some of the versions.
             controllers[0].push(&table);
             if random.next_u32().is_multiple_of(2) {
                 controllers[1].push(&table);
@@ -170,85 +171,86 @@
             for follower in &mut followers {
                 for _ in 0..random.next_u32() % 4 {
                     let which = (random.next_u32() % 2) as usize;
-                    follower.ask(&mut controllers[which]);
+                    follower.request_part(&mut controllers[which]);
                     if let Some(held) = follower.held.clone() {
-                        let told = tables[&held.version].clone();
-                        assert_eq!(in_order(held), in_order(told), "seed {seed}");
+                        let sent = tables[&held.version].clone();
+                        assert_eq!(sorted(held), sorted(sent), "seed {seed}");
                     }
                 }
             }
             plan.change(&mut random);
         }
         for mut follower in followers {
-            follower.ask_all(&mut controllers[0]);
+            follower.request_all(&mut controllers[0]);
             let newest = tables.values().next_back().expect("a table").clone();
             let held = follower.held.expect("a table");
-            assert_eq!(in_order(held), in_order(newest), "seed {seed}");
+            assert_eq!(sorted(held), sorted(newest), "seed {seed}");
         }
     }
 }
 
 #[test]
-fn one_route_of_many_is_told_alone() {
+fn a_changed_route_is_sent_alone() {
     let mut controller = RecentTables::default();
-    let mut plan = Plan::with_routes(1, 5_000);
+    let mut plan = TablePlan::with_routes(1, 5_000);
     controller.push(&plan.table());
     let mut follower = Follower::default();
     assert_eq!(
-        follower.ask_all(&mut controller),
-        5_000_usize.div_ceil(MOST_ITEMS)
+        follower.request_all(&mut controller),
+        5_000_usize.div_ceil(MAX_PART_ITEMS)
     );
     plan.version = 2;
     plan.routes.insert(7, route(7, 9));
     controller.push(&plan.table());
-    let part = controller.part_for(Some(1), None).expect("news");
+    let part = controller.part_for(Some(1), None).expect("a newer version");
     assert_eq!((part.base, part.items.len()), (Some(1), 1));
-    assert!(part.frame.is_some());
-    assert_eq!(follower.ask_all(&mut controller), 1);
+    assert!(part.globals.is_some());
+    assert_eq!(follower.request_all(&mut controller), 1);
 }
 
-/// A series of changes that is quicker than a table arrives doesn't keep a follower from any version.
+/// Guards against followers that never complete a version because changes arrive faster than a
+/// table can be transferred.
 #[test]
-fn versions_become_whole_while_newer_ones_come_with_each_part() {
+fn versions_complete_while_newer_ones_arrive() {
     let mut controller = RecentTables::default();
-    let mut plan = Plan::with_routes(1, 5_000);
+    let mut plan = TablePlan::with_routes(1, 5_000);
     let mut follower = Follower::default();
     let mut held = Vec::new();
     for _ in 0..100 {
         controller.push(&plan.table());
-        follower.ask(&mut controller);
+        follower.request_part(&mut controller);
         held.extend(follower.held.as_ref().map(|held| held.version));
         plan.version += 1;
         plan.routes.insert(1, route(1, plan.version));
     }
-    let parts = 5_000_usize.div_ceil(MOST_ITEMS);
+    let parts = 5_000_usize.div_ceil(MAX_PART_ITEMS);
     assert_eq!(held.len(), 100 - parts + 1);
     assert!(held.last() >= Some(&99));
 }
 
 #[test]
-fn a_follower_that_was_away_too_long_is_told_all() {
+fn followers_of_forgotten_versions_receive_the_complete_table() {
     let mut controller = RecentTables::default();
-    let mut plan = Plan::with_routes(1, 300);
+    let mut plan = TablePlan::with_routes(1, 300);
     controller.push(&plan.table());
     let mut follower = Follower::default();
-    follower.ask_all(&mut controller);
+    follower.request_all(&mut controller);
     for _ in 0..1_000 {
         plan.version += 1;
         controller.push(&plan.table());
     }
-    let part = controller.part_for(Some(1), None).expect("news");
+    let part = controller.part_for(Some(1), None).expect("a newer version");
     assert_eq!(part.base, None);
-    follower.ask_all(&mut controller);
+    follower.request_all(&mut controller);
     let held = follower.held.expect("a table");
-    assert_eq!(in_order(held), in_order(plan.table()));
+    assert_eq!(sorted(held), sorted(plan.table()));
 }
 
-/// Parts that don't fit together put nothing in force: late, repeated and foreign ones.
+/// Delayed, duplicated and unrelated parts must not be applied.
 #[test]
-fn parts_that_do_not_go_on_are_dropped() {
+fn parts_out_of_sequence_are_dropped() {
     let mut controller = RecentTables::default();
-    let mut plan = Plan::with_routes(3, 300);
+    let mut plan = TablePlan::with_routes(3, 300);
     controller.push(&plan.table());
     let first = controller.part_for(None, None).expect("a part");
     let taken = |items| PartsTaken {
@@ -257,38 +259,38 @@
         items,
     };
     let second = controller
-        .part_for(None, Some(taken(MOST_ITEMS as u32)))
+        .part_for(None, Some(taken(MAX_PART_ITEMS as u32)))
         .expect("a part");
     let mut assembler = TableAssembler::default();
     assert_eq!(assembler.take(None, second.clone()), None);
     assert_eq!(assembler.taken(), None);
     assert_eq!(assembler.take(None, first.clone()), None);
-    assert_eq!(assembler.take(None, first), None, "told again");
-    assert_eq!(assembler.taken(), Some(taken(MOST_ITEMS as u32)));
+    assert_eq!(assembler.take(None, first), None, "duplicate part");
+    assert_eq!(assembler.taken(), Some(taken(MAX_PART_ITEMS as u32)));
     assert_eq!(assembler.take(None, second.clone()), None);
-    assert_eq!(assembler.take(None, second), None, "told again");
+    assert_eq!(assembler.take(None, second), None, "duplicate part");
     assert_eq!(assembler.taken(), None);
     plan.version = 4;
     controller.push(&plan.table());
     let of_three = controller.part_for(Some(3), None).expect("a part");
-    let held = Plan::with_routes(2, 1).table();
+    let held = TablePlan::with_routes(2, 1).table();
     assert_eq!(assembler.take(Some(&held), of_three), None);
-    let newer = Plan::with_routes(5, 1).table();
+    let newer = TablePlan::with_routes(5, 1).table();
     let older = controller.part_for(None, None).expect("a part");
     assert_eq!(assembler.take(Some(&newer), older), None);
     assert_eq!(assembler.taken(), None);
 }
 
-/// Asked with parts of a version that it doesn't remember, a controller starts with the newest.
+/// A controller that no longer has the version of the received parts starts over with the newest.
 #[test]
-fn parts_of_a_forgotten_version_are_told_anew() {
+fn transfers_of_forgotten_versions_start_over() {
     let mut controller = RecentTables::default();
-    controller.push(&Plan::with_routes(9, 300).table());
+    controller.push(&TablePlan::with_routes(9, 300).table());
     let taken = PartsTaken {
         base: None,
         version: 8,
         items: 128,
     };
     let part = controller.part_for(None, Some(taken)).expect("a part");
-    assert_eq!((part.version, part.first), (9, 0));
+    assert_eq!((part.version, part.offset), (9, 0));
 }
