--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -146,12 +146,12 @@
 
     /// Handles a prefix cache event from an engine. Events may be late and have gaps.
     pub fn on_cache_event(&mut self, _now: Timestamp, engine: &EngineId, event: CacheEvent) {
-        cache_view::take_event(&mut self.state, engine, event);
+        cache_view::handle_event(&mut self.state, engine, event);
     }
 
     /// Handles a full listing of an engine's cached prefixes.
     pub fn on_cache_listing(&mut self, now: Timestamp, engine: &EngineId, listing: &[LeaseEntry]) {
-        cache_view::take_listing(&mut self.state, now, engine, listing);
+        cache_view::reconcile_listing(&mut self.state, now, engine, listing);
     }
 
     /// Handles a report that an engine is unreachable.
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -106,7 +106,7 @@
         return "the dispatcher has just started and is waiting for announcements and load reports"
             .to_string();
     }
-    if engine_selection::any_room(state, now, call) {
+    if engine_selection::any_slot(state, now, call) {
         return "engines have free slots but not enough KV memory for this call".to_string();
     }
     if attained > entitled {
--- a/crates/courseshed-dispatch/src/systems/assignment.rs
+++ b/crates/courseshed-dispatch/src/systems/assignment.rs
@@ -14,8 +14,8 @@
     state::State,
     strategy::Charging,
     systems::{
-        engine_selection, engine_selection::Closed, fairness, parking, pauses, queueing, reclaim,
-        requests, transfers,
+        engine_selection, engine_selection::ClosedEngines, fairness, parking, pauses, queueing,
+        reclaim, requests, transfers,
     },
     tables::{Assignment, CallPhase, EngineEntry, NodeIndex, Rank, Timer},
     units::Service,
@@ -28,12 +28,12 @@
 pub(crate) fn run(state: &mut State, now: Timestamp) {
     parking::run(state, now);
     let mut bypassed: Vec<(NodeIndex, Rank, CallId)> = Vec::new();
-    let mut closed = Closed::default();
+    let mut closed = ClosedEngines::default();
     while bypassed.len() < MAX_BYPASSED {
         let Some((queue, call)) = fairness::next_call(&state.branches) else {
             break;
         };
-        if !engine_selection::any_room(state, now, call) {
+        if !engine_selection::any_slot(state, now, call) {
             break;
         }
         if parking::park(state, now, queue, call) {
@@ -57,9 +57,14 @@
 }
 
 /// Selects an engine for a call, reclaiming leased memory if necessary.
-fn choose(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> Option<EngineId> {
+fn choose(
+    state: &mut State,
+    now: Timestamp,
+    call: CallId,
+    closed: &ClosedEngines,
+) -> Option<EngineId> {
     let chosen = engine_selection::choose(state, now, call, closed);
-    if chosen.is_some() || !reclaim::make_room(state, now, call, closed) {
+    if chosen.is_some() || !reclaim::reclaim_for(state, now, call, closed) {
         return chosen;
     }
     engine_selection::choose(state, now, call, closed)
@@ -79,7 +84,7 @@
 }
 
 /// Records that a call is being bypassed; after `max_bypass`, closes an engine to other calls.
-fn reserve_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut Closed) {
+fn reserve_engine(state: &mut State, now: Timestamp, call: CallId, closed: &mut ClosedEngines) {
     let limit = state.config.max_bypass;
     let Some(entry) = state.calls.get_mut(&call) else {
         return;
@@ -88,7 +93,7 @@
     if now.since(since) < limit {
         return;
     }
-    if let Some(engine) = engine_selection::roomiest(state, now, call, closed) {
+    if let Some(engine) = engine_selection::engine_to_reserve(state, now, call, closed) {
         closed.close(engine);
     }
 }
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -22,19 +22,24 @@
 const LOOKUP_ROUNDING: Tokens = Tokens(64);
 
 /// Records the prefix cached by a call that finished on an engine.
-pub(crate) fn filled(state: &mut State, program: ProgramId, engine: &EngineId, usage: &Usage) {
-    note_found(state, program, engine, usage.cached_tokens);
+pub(crate) fn record_filled(
+    state: &mut State,
+    program: ProgramId,
+    engine: &EngineId,
+    usage: &Usage,
+) {
+    reconcile_hit(state, program, engine, usage.cached_tokens);
     if usage.cached_tokens > Tokens::ZERO {
-        transfers::note_used(state, program);
+        transfers::mark_reused(state, program);
     }
-    leave_behind(state, program, engine);
+    detach_prefix(state, program, engine);
     let tokens = usage.total();
     let unused = tokens.saturating_sub(usage.cached_tokens);
-    put(state, program, engine, tokens, unused);
+    set_prefix(state, program, engine, tokens, unused);
 }
 
 /// Records a program's cached prefix, replacing the previous one.
-pub(crate) fn put(
+pub(crate) fn set_prefix(
     state: &mut State,
     program: ProgramId,
     engine: &EngineId,
@@ -53,18 +58,18 @@
     });
     let branch = entry.branch.clone();
     let before = older.map_or(Tokens::ZERO, |prefix| prefix.tokens);
-    recount(state, &branch, before, tokens);
+    update_cached(state, &branch, before, tokens);
 }
 
 /// Updates a branch's count of cached tokens.
-pub(crate) fn recount(state: &mut State, branch: &BranchPath, before: Tokens, after: Tokens) {
+pub(crate) fn update_cached(state: &mut State, branch: &BranchPath, before: Tokens, after: Tokens) {
     let account = state.cache_account(branch);
     account.cached = (account.cached + after.0).saturating_sub(before.0);
 }
 
 /// Shrinks the recorded prefix if a call found less of it cached: the rest was evicted without an
 /// event.
-fn note_found(state: &mut State, program: ProgramId, engine: &EngineId, found: Tokens) {
+fn reconcile_hit(state: &mut State, program: ProgramId, engine: &EngineId, found: Tokens) {
     let prefix = state
         .programs
         .get(&program)
@@ -77,7 +82,7 @@
 }
 
 /// Handles a cache event. Duplicates are ignored and gaps counted.
-pub(crate) fn take_event(state: &mut State, engine: &EngineId, event: CacheEvent) {
+pub(crate) fn handle_event(state: &mut State, engine: &EngineId, event: CacheEvent) {
     let Some(entry) = state.engines.get_mut(engine) else {
         return;
     };
@@ -97,7 +102,7 @@
 
 /// Reconciles leases with an engine's listing. A prefix may be cached without a lease, so only
 /// lease state is corrected.
-pub(crate) fn take_listing(
+pub(crate) fn reconcile_listing(
     state: &mut State,
     now: Timestamp,
     engine: &EngineId,
@@ -108,18 +113,18 @@
         .filter(|entry| entry.leased_for.is_some())
         .map(|entry| (entry.program, entry.tokens))
         .collect();
-    for (program, believed) in believed_on(state, now, engine) {
+    for (program, believed) in settled_leases_on(state, now, engine) {
         match listed.get(&program) {
-            None => pauses::lease_lost(state, now, program),
-            Some(held) if *held < believed => pauses::lease_shrank(state, program, *held),
+            None => pauses::handle_lost_lease(state, now, program),
+            Some(held) if *held < believed => pauses::handle_shrunk_lease(state, program, *held),
             Some(_) => {}
         }
     }
-    release_strangers(state, now, engine, listing);
+    release_unknown_leases(state, now, engine, listing);
 }
 
 /// Drops all recorded prefixes of an engine that lost its cache.
-pub(crate) fn lost(state: &mut State, engine: &EngineId) {
+pub(crate) fn drop_engine(state: &mut State, engine: &EngineId) {
     let programs: Vec<ProgramId> = state
         .programs
         .iter()
@@ -137,7 +142,7 @@
 
 /// Drops the recorded prefix of a program that continues on another engine. If it continues on the
 /// same engine, only the lease ends.
-pub(crate) fn leave_behind(state: &mut State, program: ProgramId, engine: &EngineId) {
+pub(crate) fn detach_prefix(state: &mut State, program: ProgramId, engine: &EngineId) {
     let prefix = state
         .programs
         .get(&program)
@@ -146,7 +151,7 @@
         return;
     };
     if left == *engine {
-        pauses::unlease(state, program);
+        pauses::remove_lease(state, program);
         return;
     }
     drop_prefix(state, program, |waste, tokens| waste.moved += tokens);
@@ -171,29 +176,29 @@
     let before = std::mem::replace(&mut prefix.tokens, left);
     prefix.unused = prefix.unused.saturating_sub(wasted);
     let is_gone = left == Tokens::ZERO;
-    let cause = cause_of_eviction(state, &branch);
-    state.cache_account(&cause).waste.evicted += wasted.0;
-    recount(state, &branch, before, left);
+    let charged = branch_charged_for_eviction(state, &branch);
+    state.cache_account(&charged).waste.evicted += wasted.0;
+    update_cached(state, &branch, before, left);
     if is_gone {
         drop_prefix(state, program, |_, _| {});
     }
 }
 
 fn drop_prefix(state: &mut State, program: ProgramId, count: impl Fn(&mut Waste, u64)) {
-    pauses::unlease(state, program);
+    pauses::remove_lease(state, program);
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
     let branch: BranchPath = entry.branch.clone();
     if let Some(prefix) = entry.prefix.take() {
-        recount(state, &branch, prefix.tokens, Tokens::ZERO);
+        update_cached(state, &branch, prefix.tokens, Tokens::ZERO);
         count(&mut state.cache_account(&branch).waste, prefix.unused.0);
     }
 }
 
 /// The branch charged for an eviction: the owner if its cached tokens exceed its entitled share,
 /// else the branch that exceeds its entitled share most.
-fn cause_of_eviction(state: &State, owner: &BranchPath) -> BranchPath {
+fn branch_charged_for_eviction(state: &State, owner: &BranchPath) -> BranchPath {
     let all: u64 = state
         .cache_accounts
         .values()
@@ -226,7 +231,7 @@
 
 /// Leased programs on an engine that have been paused for longer than `LISTING_LAG`, with their
 /// leased tokens.
-fn believed_on(state: &State, now: Timestamp, engine: &EngineId) -> Vec<(ProgramId, Tokens)> {
+fn settled_leases_on(state: &State, now: Timestamp, engine: &EngineId) -> Vec<(ProgramId, Tokens)> {
     let mut believed = Vec::new();
     for (id, program) in state.programs.iter() {
         let is_settled = program
@@ -245,7 +250,12 @@
 /// Releases leases of unknown programs, once a new dispatcher has had time to learn about all
 /// programs. On an engine that serves several models the programs may belong to other pools, so
 /// their leases are left to expire.
-fn release_strangers(state: &mut State, now: Timestamp, engine: &EngineId, listing: &[LeaseEntry]) {
+fn release_unknown_leases(
+    state: &mut State,
+    now: Timestamp,
+    engine: &EngineId,
+    listing: &[LeaseEntry],
+) {
     let serves_one_model = state
         .engines
         .get(engine)
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -28,7 +28,7 @@
         .collect();
     for engine in gone {
         parking::unpark_all(state, now, &engine);
-        cache_view::lost(state, &engine);
+        cache_view::drop_engine(state, &engine);
         state.engines.remove(&engine);
     }
     for member in members {
@@ -43,7 +43,7 @@
     };
     if entry.record_report(now, load) {
         begin_slow_start(state, now, engine);
-        cache_view::lost(state, engine);
+        cache_view::drop_engine(state, engine);
     }
 }
 
@@ -119,7 +119,7 @@
                 begin_slow_start(state, now, &engine);
             }
             if goes_down {
-                cache_view::lost(state, &engine);
+                cache_view::drop_engine(state, &engine);
             }
         }
     }
--- a/crates/courseshed-dispatch/src/systems/engine_selection.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_selection.rs
@@ -17,7 +17,7 @@
 /// Cost of an engine on which the call failed before; chosen only as a last resort.
 const AVOIDED_COST: u64 = u64::MAX / 4;
 /// Fraction of the prompt that must be cached on an engine for prefix affinity.
-const AFFINITY_LEAST_MATCH: f64 = 0.5;
+const AFFINITY_MIN_MATCH: f64 = 0.5;
 /// Difference in load between the most and least loaded engines above which they count as
 /// imbalanced and prefix affinity is disabled.
 const AFFINITY_IMBALANCE: u32 = 32;
@@ -26,9 +26,9 @@
 
 /// Engines closed to further calls in one run because their memory is reserved for a large call.
 #[derive(Debug, Default)]
-pub(crate) struct Closed(BTreeSet<EngineId>);
+pub(crate) struct ClosedEngines(BTreeSet<EngineId>);
 
-impl Closed {
+impl ClosedEngines {
     pub(crate) fn close(&mut self, engine: EngineId) {
         self.0.insert(engine);
     }
@@ -39,7 +39,7 @@
 }
 
 /// A call and the data that engine selection needs, looked up once for all engines.
-struct Wanted<'a> {
+struct CallRequirements<'a> {
     call: &'a WaitingCall,
     program: Option<&'a ProgramEntry>,
     /// KV memory the call is expected to use.
@@ -48,10 +48,10 @@
     priority: i32,
 }
 
-impl<'a> Wanted<'a> {
-    fn of(state: &'a State, call: CallId) -> Option<Wanted<'a>> {
+impl<'a> CallRequirements<'a> {
+    fn of(state: &'a State, call: CallId) -> Option<CallRequirements<'a>> {
         let waiting = &state.calls.get(&call)?.call;
-        Some(Wanted {
+        Some(CallRequirements {
             call: waiting,
             program: state.programs.get(&call.program),
             memory: memory_of(state, waiting),
@@ -60,7 +60,7 @@
     }
 
     /// Memory leased on the engine for the call's own program.
-    fn held_on(&self, engine: &EngineId) -> Tokens {
+    fn leased_on(&self, engine: &EngineId) -> Tokens {
         let prefix = self.program.and_then(|program| program.prefix.as_ref());
         match prefix {
             Some(prefix) if prefix.engine == *engine => prefix.leased_tokens,
@@ -69,10 +69,10 @@
     }
 
     /// Prompt tokens that need not be computed on the engine, as far as is known.
-    fn spared_on(&self, state: &State, engine: &EngineId) -> Tokens {
+    fn saved_tokens_on(&self, state: &State, engine: &EngineId) -> Tokens {
         let is_known = |program: &&ProgramEntry| program.prefix.is_some() || program.exported.0 > 0;
         match self.program.filter(is_known) {
-            Some(program) => transfers::spared_on(state, program, engine),
+            Some(program) => transfers::saved_tokens_on(state, program, engine),
             None if self.call.last_engine.as_ref() == Some(engine) => self.call.prompt_tokens,
             None => Tokens::ZERO,
         }
@@ -80,7 +80,7 @@
 }
 
 /// Whether any engine has a free slot, or one that the call's priority entitles it to.
-pub(crate) fn any_room(state: &State, now: Timestamp, call: CallId) -> bool {
+pub(crate) fn any_slot(state: &State, now: Timestamp, call: CallId) -> bool {
     let priority = sent_priority(state, call);
     state
         .engines
@@ -101,8 +101,9 @@
 }
 
 /// Memory leased on the engine for the call's own program.
-pub(crate) fn held_for(state: &State, call: CallId, engine: &EngineId) -> Tokens {
-    Wanted::of(state, call).map_or(Tokens::ZERO, |wanted| wanted.held_on(engine))
+pub(crate) fn own_leased_tokens(state: &State, call: CallId, engine: &EngineId) -> Tokens {
+    CallRequirements::of(state, call)
+        .map_or(Tokens::ZERO, |requirements| requirements.leased_on(engine))
 }
 
 /// Selects an engine with capacity for a queued call.
@@ -110,43 +111,47 @@
     state: &State,
     now: Timestamp,
     call: CallId,
-    closed: &Closed,
+    closed: &ClosedEngines,
 ) -> Option<EngineId> {
-    let wanted = Wanted::of(state, call)?;
+    let requirements = CallRequirements::of(state, call)?;
     let best = state
         .engines
         .iter()
-        .filter(|(id, engine)| closed.is_open(id) && has_slot(state, engine, now, wanted.priority))
-        .filter(|(_, engine)| fits(state, now, engine, &wanted))
-        .map(|(id, engine)| (cost(state, now, &wanted, engine), id))
+        .filter(|(id, engine)| {
+            closed.is_open(id) && has_slot(state, engine, now, requirements.priority)
+        })
+        .filter(|(_, engine)| fits(state, now, engine, &requirements))
+        .map(|(id, engine)| (cost(state, now, &requirements, engine), id))
         .min();
     best.map(|(_, engine)| engine.clone())
 }
 
 /// Whether an engine has a slot and enough memory for a call.
-pub(crate) fn has_room(state: &State, now: Timestamp, call: CallId, engine: &EngineId) -> bool {
-    let (Some(wanted), Some(engine)) = (Wanted::of(state, call), state.engines.get(engine)) else {
+pub(crate) fn has_capacity(state: &State, now: Timestamp, call: CallId, engine: &EngineId) -> bool {
+    let (Some(requirements), Some(engine)) =
+        (CallRequirements::of(state, call), state.engines.get(engine))
+    else {
         return false;
     };
-    has_slot(state, engine, now, wanted.priority) && fits(state, now, engine, &wanted)
+    has_slot(state, engine, now, requirements.priority) && fits(state, now, engine, &requirements)
 }
 
 /// The engine with the most memory available to a call that fits on none now; `None` if the call
 /// exceeds every engine's memory, or if closing another engine would leave less than half of them
 /// open.
-pub(crate) fn roomiest(
+pub(crate) fn engine_to_reserve(
     state: &State,
     now: Timestamp,
     call: CallId,
-    closed: &Closed,
+    closed: &ClosedEngines,
 ) -> Option<EngineId> {
     if (closed.0.len() + 1) * 2 > state.engines.len().max(2) {
         return None;
     }
-    let wanted = Wanted::of(state, call)?;
+    let requirements = CallRequirements::of(state, call)?;
     let could_fit = |engine: &EngineEntry| {
         let size = engine.memory_capacity();
-        size.is_some_and(|size| size >= wanted.memory)
+        size.is_some_and(|size| size >= requirements.memory)
     };
     state
         .engines
@@ -155,7 +160,7 @@
         .filter(|(_, engine)| could_fit(engine))
         .max_by_key(|(id, engine)| {
             let room = engine.available_memory(&state.config).unwrap_or_default();
-            room.saturating_add(wanted.held_on(id))
+            room.saturating_add(requirements.leased_on(id))
         })
         .map(|(id, _)| id.clone())
 }
@@ -186,37 +191,47 @@
 
 /// Whether an engine has enough memory. An urgent call beyond the slot limit may use the memory of
 /// the call it preempts.
-fn fits(state: &State, now: Timestamp, engine: &EngineEntry, wanted: &Wanted) -> bool {
+fn fits(
+    state: &State,
+    now: Timestamp,
+    engine: &EngineEntry,
+    requirements: &CallRequirements,
+) -> bool {
     let Some(room) = engine.available_memory(&state.config) else {
         return true;
     };
     let overtakes = engine.in_flight >= engine.call_limit(&state.config, now);
     let size = engine.memory_capacity();
-    if overtakes && size.is_some_and(|size| size >= wanted.memory) {
+    if overtakes && size.is_some_and(|size| size >= requirements.memory) {
         return true;
     }
-    let held = wanted.held_on(&engine.member.engine);
-    engine.in_flight == 0 || room.saturating_add(held) >= wanted.memory
+    let leased = requirements.leased_on(&engine.member.engine);
+    engine.in_flight == 0 || room.saturating_add(leased) >= requirements.memory
 }
 
 /// Selection cost in service units. The call's decode cost is the same on all engines and is
 /// omitted.
-fn cost(state: &State, now: Timestamp, wanted: &Wanted, engine: &EngineEntry) -> u64 {
+fn cost(
+    state: &State,
+    now: Timestamp,
+    requirements: &CallRequirements,
+    engine: &EngineEntry,
+) -> u64 {
     let id = &engine.member.engine;
     let load = load_cost(state, now, engine);
-    let spared = wanted.spared_on(state, id);
-    let uncached = wanted.call.prompt_tokens.saturating_sub(spared);
+    let saved = requirements.saved_tokens_on(state, id);
+    let uncached = requirements.call.prompt_tokens.saturating_sub(saved);
     let prefill = uncached.0 * state.config.prefill_weight;
-    let avoidance = match wanted.call.avoid.contains(id) {
+    let avoid_cost = match requirements.call.avoid.contains(id) {
         true => AVOIDED_COST,
         false => 0,
     };
     let base = match state.strategy.engine_selection {
         EngineSelection::LeastLoad => load,
-        EngineSelection::Affinity => affinity_cost(state, now, wanted, engine, load),
-        EngineSelection::LowestCost => prefill + load + zone_cost(state, wanted.call, engine),
+        EngineSelection::Affinity => affinity_cost(state, now, requirements, engine, load),
+        EngineSelection::LowestCost => prefill + load + zone_cost(state, requirements.call, engine),
     };
-    base + avoidance
+    base + avoid_cost
 }
 
 /// Load of an engine: the higher of its slot and memory utilization. Leased memory is ignored,
@@ -237,27 +252,27 @@
 fn affinity_cost(
     state: &State,
     now: Timestamp,
-    wanted: &Wanted,
+    requirements: &CallRequirements,
     engine: &EngineEntry,
     load: u64,
 ) -> u64 {
-    let spared = wanted.spared_on(state, &engine.member.engine);
-    let matches = spared.0 as f64 > AFFINITY_LEAST_MATCH * wanted.call.prompt_tokens.0 as f64;
-    if matches && !is_out_of_balance(state, now) {
+    let saved = requirements.saved_tokens_on(state, &engine.member.engine);
+    let matches = saved.0 as f64 > AFFINITY_MIN_MATCH * requirements.call.prompt_tokens.0 as f64;
+    if matches && !is_imbalanced(state, now) {
         return 0;
     }
     1 + load
 }
 
-fn is_out_of_balance(state: &State, now: Timestamp) -> bool {
+fn is_imbalanced(state: &State, now: Timestamp) -> bool {
     let accepts_calls = |engine: &&EngineEntry| engine.accepts_calls(now, &state.pool.model);
     let engines = state.engines.iter().map(|(_, engine)| engine);
     let loads = engines.filter(accepts_calls).map(|engine| engine.in_flight);
     let (least, most) = loads.fold((u32::MAX, 0), |(least, most), load| {
         (least.min(load), most.max(load))
     });
-    let apart = most.saturating_sub(least) > AFFINITY_IMBALANCE;
-    apart && f64::from(most) > AFFINITY_IMBALANCE_RATIO * f64::from(least)
+    let exceeds_difference = most.saturating_sub(least) > AFFINITY_IMBALANCE;
+    exceeds_difference && f64::from(most) > AFFINITY_IMBALANCE_RATIO * f64::from(least)
 }
 
 /// Penalty for an engine outside the zone of the program's last engine, which would move the prefix
--- a/crates/courseshed-dispatch/src/systems/expiry.rs
+++ b/crates/courseshed-dispatch/src/systems/expiry.rs
@@ -16,8 +16,8 @@
             Timer::Unpark(call) => parking::unpark(state, now, call),
             Timer::ImportDone(call) => assignment::send_assignment(state, call),
             Timer::Resend(call) => assignment::resend(state, now, call),
-            Timer::LeaseReview(program) => pauses::review(state, now, program),
-            Timer::ProgramIdle(program) => pauses::forget(state, now, program),
+            Timer::LeaseReview(program) => pauses::review_lease(state, now, program),
+            Timer::ProgramIdle(program) => pauses::drop_if_idle(state, now, program),
             Timer::EngineRecheck(engine) => engine_health::recheck(state, now, &engine),
             Timer::AnnounceTimeout(shard) => announcement::request(state, now, shard),
             Timer::GraceEnds => {}
--- a/crates/courseshed-dispatch/src/systems/liveness.rs
+++ b/crates/courseshed-dispatch/src/systems/liveness.rs
@@ -12,7 +12,7 @@
 use crate::state::State;
 
 /// Minimum time between batches of checks.
-const INTERVAL: Duration = Duration::from_secs(1);
+const BATCH_INTERVAL: Duration = Duration::from_secs(1);
 
 /// Programs to check, by shard.
 #[derive(Debug, Default)]
@@ -22,7 +22,7 @@
 }
 
 /// Adds a paused program with a lease to the next batch.
-pub(crate) fn note(state: &mut State, shard: ShardId, program: ProgramId) {
+pub(crate) fn add(state: &mut State, shard: ShardId, program: ProgramId) {
     let programs = state.liveness_checks.by_shard.entry(shard).or_default();
     programs.insert(program);
 }
@@ -32,7 +32,7 @@
     if now < state.liveness_checks.next || state.liveness_checks.by_shard.is_empty() {
         return;
     }
-    state.liveness_checks.next = now + INTERVAL;
+    state.liveness_checks.next = now + BATCH_INTERVAL;
     for (shard, programs) in std::mem::take(&mut state.liveness_checks.by_shard) {
         let programs = programs.into_iter().collect();
         state.send_event(shard, DispatchEventBody::CheckPrograms(programs));
--- a/crates/courseshed-dispatch/src/systems/parking.rs
+++ b/crates/courseshed-dispatch/src/systems/parking.rs
@@ -68,7 +68,7 @@
     }
     let parked = state.engines.get(engine).map(|entry| entry.parked.clone());
     for call in parked.unwrap_or_default() {
-        if engine_selection::has_room(state, now, call, engine) {
+        if engine_selection::has_capacity(state, now, call, engine) {
             remove(state, call);
             assignment::assign(state, now, call, engine);
         }
@@ -119,7 +119,7 @@
     let program = state.programs.get(&call.program)?;
     let prefix = program.prefix.as_ref()?;
     let engine = state.engines.get(&prefix.engine)?;
-    let is_full = !engine_selection::has_room(state, now, call, &prefix.engine);
+    let is_full = !engine_selection::has_capacity(state, now, call, &prefix.engine);
     let is_at_limit = engine.parked.len() >= engine.parking_limit(&state.config);
     let is_avoided = entry.call.avoid.contains(&prefix.engine);
     let accepts_calls = engine.accepts_calls(now, &state.pool.model);
--- a/crates/courseshed-dispatch/src/systems/pauses/decision.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/decision.rs
@@ -8,17 +8,17 @@
 
 /// Estimates about a paused program and its engine.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(crate) struct PauseOutlook {
+pub(crate) struct PauseEstimates {
     /// Highest probability of resumption per second of holding, over several horizons.
-    pub(crate) returns_per_second: f64,
+    pub(crate) resume_rate: f64,
     /// Probability that the program resumes at all, 0 to 1.
-    pub(crate) returns: f64,
+    pub(crate) resume_probability: f64,
     /// Resumption rate per second at which holding the memory breaks even.
     pub(crate) memory_price: f64,
     /// Probability that an unleased prefix is evicted before it is used, 0 to 1.
-    pub(crate) eviction: f64,
+    pub(crate) eviction_probability: f64,
     /// Cost of moving the prefix over the engine's link once, as a fraction of computing it.
-    pub(crate) transfer: f64,
+    pub(crate) transfer_cost: f64,
     pub(crate) copy: CopyState,
 }
 
@@ -44,13 +44,16 @@
 }
 
 /// Chooses the action with the least expected loss.
-pub(crate) fn decide(outlook: &PauseOutlook) -> PauseDecision {
-    let without_memory = loss_without_memory(outlook);
-    let per_return = (without_memory / outlook.returns.max(f64::MIN_POSITIVE)).min(1.0);
-    if outlook.returns_per_second * per_return >= outlook.memory_price {
+pub(crate) fn decide(estimates: &PauseEstimates) -> PauseDecision {
+    let without_lease = loss_without_lease(estimates);
+    let per_resumption =
+        (without_lease / estimates.resume_probability.max(f64::MIN_POSITIVE)).min(1.0);
+    if estimates.resume_rate * per_resumption >= estimates.memory_price {
         return PauseDecision::Hold;
     }
-    if outlook.copy == CopyState::Possible && loss_with_export(outlook) < loss_by_drop(outlook) {
+    if estimates.copy == CopyState::Possible
+        && loss_with_export(estimates) < loss_with_drop(estimates)
+    {
         return PauseDecision::Export;
     }
     PauseDecision::Drop
@@ -58,25 +61,26 @@
 
 /// Expected loss after releasing the lease. Assumes that the prefix is then evicted, since other
 /// programs release leases under the same conditions.
-fn loss_without_memory(outlook: &PauseOutlook) -> f64 {
-    match outlook.copy {
-        CopyState::Impossible => outlook.returns,
+fn loss_without_lease(estimates: &PauseEstimates) -> f64 {
+    match estimates.copy {
+        CopyState::Impossible => estimates.resume_probability,
         CopyState::Possible => {
-            let copied = outlook.transfer * (1.0 + outlook.returns);
-            outlook.returns.min(copied)
+            let copied = estimates.transfer_cost * (1.0 + estimates.resume_probability);
+            estimates.resume_probability.min(copied)
         }
-        CopyState::Exists => outlook.returns * outlook.transfer,
+        CopyState::Exists => estimates.resume_probability * estimates.transfer_cost,
     }
 }
 
 /// Expected loss if the prefix is exported now and imported on resumption.
-fn loss_with_export(outlook: &PauseOutlook) -> f64 {
-    outlook.transfer + outlook.returns * outlook.eviction * outlook.transfer
+fn loss_with_export(estimates: &PauseEstimates) -> f64 {
+    estimates.transfer_cost
+        + estimates.resume_probability * estimates.eviction_probability * estimates.transfer_cost
 }
 
 /// Expected loss if the prefix is left to eviction.
-fn loss_by_drop(outlook: &PauseOutlook) -> f64 {
-    outlook.returns * outlook.eviction
+fn loss_with_drop(estimates: &PauseEstimates) -> f64 {
+    estimates.resume_probability * estimates.eviction_probability
 }
 
 #[cfg(test)]
--- a/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
@@ -4,7 +4,7 @@
 
 use super::*;
 
-fn outlooks() -> impl Strategy<Value = PauseOutlook> {
+fn pause_estimates() -> impl Strategy<Value = PauseEstimates> {
     let copies = prop_oneof![
         Just(CopyState::Impossible),
         Just(CopyState::Possible),
@@ -19,13 +19,15 @@
         copies,
     );
     parts.prop_map(
-        |(per_second, returns, price, eviction, transfer, copy)| PauseOutlook {
-            returns_per_second: per_second * returns,
-            returns,
-            memory_price: price,
-            eviction,
-            transfer,
-            copy,
+        |(rate, resume_probability, price, eviction_probability, transfer_cost, copy)| {
+            PauseEstimates {
+                resume_rate: rate * resume_probability,
+                resume_probability,
+                memory_price: price,
+                eviction_probability,
+                transfer_cost,
+                copy,
+            }
         },
     )
 }
@@ -34,37 +36,37 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn dearer_memory_never_makes_it_hold(outlook in outlooks(), factor in 1.0..10.0f64) {
-        let mut dearer = outlook;
-        dearer.memory_price *= factor;
-        if decide(&outlook) != PauseDecision::Hold {
-            prop_assert_ne!(decide(&dearer), PauseDecision::Hold);
+    fn a_higher_memory_price_never_causes_a_hold(estimates in pause_estimates(), factor in 1.0..10.0f64) {
+        let mut more_expensive = estimates;
+        more_expensive.memory_price *= factor;
+        if decide(&estimates) != PauseDecision::Hold {
+            prop_assert_ne!(decide(&more_expensive), PauseDecision::Hold);
         }
     }
 
     #[test]
-    fn an_earlier_return_never_makes_it_let_go(outlook in outlooks(), factor in 1.0..10.0f64) {
-        let mut earlier = outlook;
-        earlier.returns_per_second *= factor;
-        if decide(&outlook) == PauseDecision::Hold {
-            prop_assert_eq!(decide(&earlier), PauseDecision::Hold);
+    fn a_higher_resume_rate_never_causes_a_release(estimates in pause_estimates(), factor in 1.0..10.0f64) {
+        let mut higher_rate = estimates;
+        higher_rate.resume_rate *= factor;
+        if decide(&estimates) == PauseDecision::Hold {
+            prop_assert_eq!(decide(&higher_rate), PauseDecision::Hold);
         }
     }
 
     #[test]
-    fn an_export_is_expected_to_pay_for_itself(outlook in outlooks()) {
-        if decide(&outlook) == PauseDecision::Export {
-            let saved = outlook.returns * outlook.eviction * (1.0 - outlook.transfer);
-            prop_assert!(saved > outlook.transfer);
-            prop_assert_eq!(outlook.copy, CopyState::Possible);
+    fn an_export_saves_more_than_it_costs(estimates in pause_estimates()) {
+        if decide(&estimates) == PauseDecision::Export {
+            let saved = estimates.resume_probability * estimates.eviction_probability * (1.0 - estimates.transfer_cost);
+            prop_assert!(saved > estimates.transfer_cost);
+            prop_assert_eq!(estimates.copy, CopyState::Possible);
         }
     }
 
     #[test]
-    fn a_copy_that_exists_makes_memory_matter_less(outlook in outlooks()) {
-        let mut copied = outlook;
+    fn an_existing_copy_never_causes_a_hold(estimates in pause_estimates()) {
+        let mut copied = estimates;
         copied.copy = CopyState::Exists;
-        copied.transfer = outlook.transfer.min(1.0);
+        copied.transfer_cost = estimates.transfer_cost.min(1.0);
         let mut alone = copied;
         alone.copy = CopyState::Impossible;
         if decide(&copied) == PauseDecision::Hold {
@@ -73,39 +75,39 @@
     }
 
     #[test]
-    fn a_program_that_never_returns_holds_nothing(outlook in outlooks()) {
-        let mut over = outlook;
-        over.returns = 0.0;
-        over.returns_per_second = 0.0;
+    fn a_program_that_never_resumes_holds_no_lease(estimates in pause_estimates()) {
+        let mut over = estimates;
+        over.resume_probability = 0.0;
+        over.resume_rate = 0.0;
         prop_assert_eq!(decide(&over), PauseDecision::Drop);
     }
 
     #[test]
-    fn without_pressure_nothing_is_moved(outlook in outlooks()) {
-        let mut idle = outlook;
-        idle.eviction = 0.0;
+    fn nothing_is_exported_without_pressure(estimates in pause_estimates()) {
+        let mut idle = estimates;
+        idle.eviction_probability = 0.0;
         prop_assert_ne!(decide(&idle), PauseDecision::Export);
     }
 }
 
 #[test]
-fn a_long_pause_under_pressure_is_moved_out_and_a_short_one_held() {
-    let long = PauseOutlook {
-        returns_per_second: 0.02,
-        returns: 0.9,
+fn under_pressure_long_pauses_are_exported_and_short_ones_held() {
+    let long = PauseEstimates {
+        resume_rate: 0.02,
+        resume_probability: 0.9,
         memory_price: 0.3,
-        eviction: 1.0,
-        transfer: 0.2,
+        eviction_probability: 1.0,
+        transfer_cost: 0.2,
         copy: CopyState::Possible,
     };
     assert_eq!(decide(&long), PauseDecision::Export);
-    let short = PauseOutlook {
-        returns_per_second: 0.9,
+    let short = PauseEstimates {
+        resume_rate: 0.9,
         ..long
     };
     assert_eq!(decide(&short), PauseDecision::Hold);
-    let doubtful = PauseOutlook {
-        returns: 0.15,
+    let doubtful = PauseEstimates {
+        resume_probability: 0.15,
         ..long
     };
     assert_eq!(decide(&doubtful), PauseDecision::Drop);
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -22,55 +22,55 @@
     tables::{EngineEntry, ProgramEntry, Timer},
 };
 
-use decision::{CopyState, PauseDecision, PauseOutlook, decide};
+use decision::{CopyState, PauseDecision, PauseEstimates, decide};
 
 /// Horizons over which the probability of resumption is evaluated, in seconds.
 const HORIZONS_SECONDS: [u64; 7] = [1, 2, 5, 10, 30, 90, 300];
 /// Probability of another call assumed before any sample is recorded.
-const ASSUMED_GOES_ON: f64 = 0.75;
+const DEFAULT_CONTINUE_PROBABILITY: f64 = 0.75;
 /// Resumption rate per second assumed before any sample is recorded.
-const ASSUMED_HAZARD: f64 = 0.05;
+const DEFAULT_RESUME_RATE: f64 = 0.05;
 /// Price of holding memory on an idle engine: one resumption in 300 seconds breaks even.
 const IDLE_PRICE: f64 = 1.0 / 300.0;
 /// Price of holding memory on a full engine.
 const FULL_PRICE: f64 = 1.0 / 3.0;
 /// Memory utilization up to which the idle price applies.
-const PRESSURE_FROM: f64 = 0.5;
+const PRESSURE_THRESHOLD: f64 = 0.5;
 
 /// Starts a pause after a program's call has finished.
 pub(crate) fn begin(state: &mut State, now: Timestamp, program: ProgramId) {
-    remember(state, now, program);
-    review(state, now, program);
+    restart_idle_timer(state, now, program);
+    review_lease(state, now, program);
 }
 
 /// Restarts the timer after which an idle program is dropped.
-pub(crate) fn remember(state: &mut State, now: Timestamp, program: ProgramId) {
+pub(crate) fn restart_idle_timer(state: &mut State, now: Timestamp, program: ProgramId) {
     let forget_at = now + state.config.program_idle_timeout;
     state.timers.set(forget_at, Timer::ProgramIdle(program));
 }
 
 /// Drops a program that has been idle too long, unless one of its calls is known.
-pub(crate) fn forget(state: &mut State, now: Timestamp, program: ProgramId) {
+pub(crate) fn drop_if_idle(state: &mut State, now: Timestamp, program: ProgramId) {
     if state.calls.of_program(program).is_some() {
-        remember(state, now, program);
+        restart_idle_timer(state, now, program);
     } else {
-        end(state, program);
+        end_program(state, program);
     }
 }
 
 /// Decides again whether to keep a paused program's lease, and renews or releases it.
-pub(crate) fn review(state: &mut State, now: Timestamp, program: ProgramId) {
+pub(crate) fn review_lease(state: &mut State, now: Timestamp, program: ProgramId) {
     if !state.strategy.leases_prefixes {
         return;
     }
-    let Some(engine) = held_on(state, program) else {
+    let Some(engine) = lease_candidate_engine(state, program) else {
         return;
     };
     match decision_for(state, now, program, &engine) {
-        PauseDecision::Hold => renew(state, now, program, engine),
-        PauseDecision::Drop => release(state, program),
+        PauseDecision::Hold => renew_lease(state, now, program, engine),
+        PauseDecision::Drop => release_lease(state, program),
         PauseDecision::Export => {
-            renew(state, now, program, engine);
+            renew_lease(state, now, program, engine);
             let done_at = transfers::export(state, now, program);
             state.timers.set(done_at, Timer::LeaseReview(program));
         }
@@ -79,19 +79,19 @@
 
 /// Ends a program's lease when its next call is placed.
 pub(crate) fn resume(state: &mut State, program: ProgramId) {
-    unlease(state, program);
+    remove_lease(state, program);
 }
 
 /// Removes a program that has ended and releases its prefix.
-pub(crate) fn end(state: &mut State, program: ProgramId) -> Option<ProgramEntry> {
-    unlease(state, program);
-    transfers::forget_copy(state, program);
+pub(crate) fn end_program(state: &mut State, program: ProgramId) -> Option<ProgramEntry> {
+    remove_lease(state, program);
+    transfers::drop_copy(state, program);
     state.timers.cancel(Timer::ProgramIdle(program));
     let entry = state.programs.remove(&program)?;
     let Some(prefix) = &entry.prefix else {
         return Some(entry);
     };
-    cache_view::recount(state, &entry.branch, prefix.tokens, Tokens::ZERO);
+    cache_view::update_cached(state, &entry.branch, prefix.tokens, Tokens::ZERO);
     state.cache_account(&entry.branch).waste.abandoned += prefix.unused.0;
     if state.strategy.leases_prefixes {
         state.counters.leases_released += 1;
@@ -102,7 +102,7 @@
 }
 
 /// Removes a program's lease from the accounting; returns whether it had one.
-pub(crate) fn unlease(state: &mut State, program: ProgramId) -> bool {
+pub(crate) fn remove_lease(state: &mut State, program: ProgramId) -> bool {
     let Some(entry) = state.programs.get_mut(&program) else {
         return false;
     };
@@ -124,8 +124,8 @@
 }
 
 /// Releases a program's lease, so that the engine may evict the prefix.
-pub(crate) fn release(state: &mut State, program: ProgramId) {
-    if !unlease(state, program) {
+pub(crate) fn release_lease(state: &mut State, program: ProgramId) {
+    if !remove_lease(state, program) {
         return;
     }
     let prefix = state
@@ -140,15 +140,15 @@
 }
 
 /// Handles a lease that the engine no longer lists because it expired or was broken.
-pub(crate) fn lease_lost(state: &mut State, now: Timestamp, program: ProgramId) {
-    if unlease(state, program) {
+pub(crate) fn handle_lost_lease(state: &mut State, now: Timestamp, program: ProgramId) {
+    if remove_lease(state, program) {
         state.counters.leases_lost += 1;
-        review(state, now, program);
+        review_lease(state, now, program);
     }
 }
 
 /// Corrects a lease for which the engine lists fewer tokens than requested.
-pub(crate) fn lease_shrank(state: &mut State, program: ProgramId, held: Tokens) {
+pub(crate) fn handle_shrunk_lease(state: &mut State, program: ProgramId, held: Tokens) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
@@ -164,9 +164,9 @@
     state.remove_leased(&branch, less);
 }
 
-fn renew(state: &mut State, now: Timestamp, program: ProgramId, engine: EngineId) {
+fn renew_lease(state: &mut State, now: Timestamp, program: ProgramId, engine: EngineId) {
     let time_to_live = state.config.lease;
-    unlease(state, program);
+    remove_lease(state, program);
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
@@ -184,7 +184,7 @@
     }
     state.add_leased(&branch, tokens);
     state.counters.leases_renewed += 1;
-    liveness::note(state, shard, program);
+    liveness::add(state, shard, program);
     let body = EngineOrderBody::RenewLease {
         program,
         time_to_live,
@@ -197,7 +197,7 @@
 
 /// The engine with the prefix of a program that is paused, or whose next call is queued while a
 /// lease is held.
-fn held_on(state: &State, program: ProgramId) -> Option<EngineId> {
+fn lease_candidate_engine(state: &State, program: ProgramId) -> Option<EngineId> {
     let entry = state.programs.get(&program)?;
     let prefix = entry.prefix.as_ref()?;
     if entry.paused_since.is_none() && prefix.leased_until.is_none() {
@@ -222,27 +222,27 @@
     let Some(since) = entry.paused_since else {
         return PauseDecision::Hold;
     };
-    let decision = decide(&outlook(state, now, program, entry, holder));
+    let decision = decide(&estimates(state, now, program, entry, holder));
     match decision {
         PauseDecision::Hold if now.since(since) > state.config.max_hold => PauseDecision::Drop,
         _ => decision,
     }
 }
 
-fn outlook(
+fn estimates(
     state: &State,
     now: Timestamp,
     program: ProgramId,
     entry: &ProgramEntry,
     holder: &EngineEntry,
-) -> PauseOutlook {
-    let pressure = pressure_on(state, entry, holder);
-    PauseOutlook {
-        returns_per_second: expected_use(state, now, program),
-        returns: returns_at_all(state, now, entry),
+) -> PauseEstimates {
+    let pressure = memory_pressure(state, entry, holder);
+    PauseEstimates {
+        resume_rate: resume_rate(state, now, program),
+        resume_probability: resume_probability(state, now, entry),
         memory_price: IDLE_PRICE * (FULL_PRICE / IDLE_PRICE).powf(pressure),
-        eviction: pressure,
-        transfer: transfers::part_of_prefill(state),
+        eviction_probability: pressure,
+        transfer_cost: transfers::transfer_cost_ratio(state),
         copy: copy_state(state, entry),
     }
 }
@@ -263,7 +263,7 @@
 
 /// Expected resumptions per second: the highest rate over several horizons. A program whose next
 /// call is already queued is certain to resume.
-pub(crate) fn expected_use(state: &State, now: Timestamp, program: ProgramId) -> f64 {
+pub(crate) fn resume_rate(state: &State, now: Timestamp, program: ProgramId) -> f64 {
     let Some(entry) = state.programs.get(&program) else {
         return 0.0;
     };
@@ -275,35 +275,37 @@
         .iter()
         .map(|seconds| {
             let horizon = Duration::from_secs(*seconds);
-            let returns = state
+            let resumed = state
                 .workload
                 .resume_probability_within(&entry.branch, elapsed, horizon);
-            returns.map_or(ASSUMED_HAZARD, |chance| chance / *seconds as f64)
+            resumed.map_or(DEFAULT_RESUME_RATE, |probability| {
+                probability / *seconds as f64
+            })
         })
         .fold(0.0, f64::max);
-    returns_at_all(state, now, entry) * hazard
+    resume_probability(state, now, entry) * hazard
 }
 
 /// Probability that a paused program makes another call, given its calls so far and how long it has
 /// been paused.
-fn returns_at_all(state: &State, now: Timestamp, entry: &ProgramEntry) -> f64 {
-    let goes_on = state
+fn resume_probability(state: &State, now: Timestamp, entry: &ProgramEntry) -> f64 {
+    let continues = state
         .workload
         .continue_probability(&entry.branch, entry.turns)
-        .unwrap_or(ASSUMED_GOES_ON);
+        .unwrap_or(DEFAULT_CONTINUE_PROBABILITY);
     let elapsed = entry
         .paused_since
         .map_or(Duration::ZERO, |since| now.since(since));
-    let still_away = state
+    let survival = state
         .workload
         .pause_survival(&entry.branch, elapsed)
         .unwrap_or(1.0);
-    let returns_later = goes_on * still_away;
-    returns_later / (returns_later + 1.0 - goes_on).max(f64::MIN_POSITIVE)
+    let resumes_later = continues * survival;
+    resumes_later / (resumes_later + 1.0 - continues).max(f64::MIN_POSITIVE)
 }
 
 /// Memory pressure on an engine, 0 to 1; 1 if the program's branch exceeds its cache share.
-fn pressure_on(state: &State, entry: &ProgramEntry, engine: &EngineEntry) -> f64 {
+fn memory_pressure(state: &State, entry: &ProgramEntry, engine: &EngineEntry) -> f64 {
     let Some(size) = engine.memory_capacity() else {
         return 0.0;
     };
@@ -316,7 +318,7 @@
     });
     let used = engine.memory.saturating_add(engine.leased);
     let used = used.saturating_add(own).0 as f64 / size.0 as f64;
-    ((used - PRESSURE_FROM) / (1.0 - PRESSURE_FROM)).clamp(0.0, 1.0)
+    ((used - PRESSURE_THRESHOLD) / (1.0 - PRESSURE_THRESHOLD)).clamp(0.0, 1.0)
 }
 
 /// Whether the program's branch or an ancestor has more leased memory than its cache share of the
--- a/crates/courseshed-dispatch/src/systems/reclaim.rs
+++ b/crates/courseshed-dispatch/src/systems/reclaim.rs
@@ -5,33 +5,38 @@
 
 use crate::{
     state::State,
-    systems::{engine_selection, engine_selection::Closed, pauses},
+    systems::{engine_selection, engine_selection::ClosedEngines, pauses},
 };
 
 /// Releases leases on one engine until the call fits; false if no engine has a slot and enough
 /// leased memory.
-pub(crate) fn make_room(state: &mut State, now: Timestamp, call: CallId, closed: &Closed) -> bool {
-    let Some((engine, missing)) = cheapest(state, now, call, closed) else {
+pub(crate) fn reclaim_for(
+    state: &mut State,
+    now: Timestamp,
+    call: CallId,
+    closed: &ClosedEngines,
+) -> bool {
+    let Some((engine, missing)) = cheapest_engine(state, now, call, closed) else {
         return false;
     };
     let mut freed = Tokens::ZERO;
-    for program in least_useful(state, now, call.program, &engine) {
+    for program in least_useful_leases(state, now, call.program, &engine) {
         if freed >= missing {
             break;
         }
         freed = freed.saturating_add(leased_by(state, program));
         state.counters.leases_reclaimed += 1;
-        pauses::release(state, program);
+        pauses::release_lease(state, program);
     }
     true
 }
 
 /// The engine on which the fewest leased tokens must be released for the call, and how many.
-fn cheapest(
+fn cheapest_engine(
     state: &State,
     now: Timestamp,
     call: CallId,
-    closed: &Closed,
+    closed: &ClosedEngines,
 ) -> Option<(EngineId, Tokens)> {
     let memory = engine_selection::needed_memory(state, call);
     let priority = engine_selection::sent_priority(state, call);
@@ -42,7 +47,7 @@
         let Some(room) = engine.available_memory(&state.config) else {
             continue;
         };
-        let own = engine_selection::held_for(state, call, id);
+        let own = engine_selection::own_leased_tokens(state, call, id);
         let missing = memory.saturating_sub(room.saturating_add(own));
         let others = engine.leased.saturating_sub(own);
         if !is_candidate || missing > others {
@@ -56,7 +61,7 @@
 }
 
 /// Paused programs with a lease on the engine, least likely to resume first.
-fn least_useful(
+fn least_useful_leases(
     state: &State,
     now: Timestamp,
     except: ProgramId,
@@ -69,7 +74,7 @@
         .leased_programs
         .iter()
         .filter(|program| **program != except)
-        .map(|program| (pauses::expected_use(state, now, *program), *program))
+        .map(|program| (pauses::resume_rate(state, now, *program), *program))
         .collect();
     programs.sort_by(|(left, left_id), (right, right_id)| {
         left.total_cmp(right).then(left_id.cmp(right_id))
--- a/crates/courseshed-dispatch/src/systems/requests.rs
+++ b/crates/courseshed-dispatch/src/systems/requests.rs
@@ -133,7 +133,7 @@
         return;
     };
     engine_health::record_success(state, now, &engine);
-    cache_view::filled(state, request.call.program, &engine, &usage);
+    cache_view::record_filled(state, request.call.program, &engine, &usage);
     let turns = entry.call.turn + 1;
     if let Some(program) = state.programs.get_mut(&request.call.program) {
         program.turns = turns;
@@ -165,7 +165,7 @@
 }
 
 fn program_ended(state: &mut State, program: ProgramId) {
-    if let Some(entry) = pauses::end(state, program) {
+    if let Some(entry) = pauses::end_program(state, program) {
         state.workload.record_turns(&entry.branch, entry.turns);
     }
 }
@@ -284,7 +284,7 @@
     let program = call.call.program;
     let entry = state.programs.get_or_insert(program, &call.branch, shard);
     entry.shard = shard;
-    pauses::remember(state, now, program);
+    pauses::restart_idle_timer(state, now, program);
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
--- a/crates/courseshed-dispatch/src/systems/transfers.rs
+++ b/crates/courseshed-dispatch/src/systems/transfers.rs
@@ -17,7 +17,7 @@
 /// Margin added to the expected duration of an export before the lease is released.
 const EXPORT_MARGIN: Duration = Duration::from_millis(500);
 /// Prefixes with fewer tokens are not exported or imported.
-const LEAST_IMPORT: Tokens = Tokens(256);
+const MIN_TRANSFER_TOKENS: Tokens = Tokens(256);
 
 /// Orders the export of a paused program's prefix; returns when it should be complete.
 pub(crate) fn export(state: &mut State, now: Timestamp, program: ProgramId) -> Timestamp {
@@ -45,12 +45,12 @@
     let entry = state.programs.get(&program)?;
     let tokens = entry.exported.min(prompt);
     let missing = tokens.saturating_sub(entry.cached_on(engine));
-    if missing < LEAST_IMPORT {
+    if missing < MIN_TRANSFER_TOKENS {
         return None;
     }
-    cache_view::leave_behind(state, program, engine);
-    cache_view::put(state, program, engine, tokens, Tokens::ZERO);
-    note_used(state, program);
+    cache_view::detach_prefix(state, program, engine);
+    cache_view::set_prefix(state, program, engine, tokens, Tokens::ZERO);
+    mark_reused(state, program);
     state.counters.imports += 1;
     state.send_order(engine.clone(), EngineOrderBody::Import { program });
     Some(transfer_time(state, missing))
@@ -58,15 +58,15 @@
 
 /// Tokens of a program's prefix that need not be computed on an engine, net of the cost of an
 /// import.
-pub(crate) fn spared_on(state: &State, program: &ProgramEntry, engine: &EngineId) -> Tokens {
+pub(crate) fn saved_tokens_on(state: &State, program: &ProgramEntry, engine: &EngineId) -> Tokens {
     let cached = program.cached_on(engine);
-    let brought = program.exported.saturating_sub(cached);
-    let gain = (brought.0 as f64 * (1.0 - part_of_prefill(state))) as u64;
+    let imported = program.exported.saturating_sub(cached);
+    let gain = (imported.0 as f64 * (1.0 - transfer_cost_ratio(state))) as u64;
     cached.saturating_add(Tokens(gain))
 }
 
 /// Marks a program's exported tokens as reused.
-pub(crate) fn note_used(state: &mut State, program: ProgramId) {
+pub(crate) fn mark_reused(state: &mut State, program: ProgramId) {
     if let Some(entry) = state.programs.get_mut(&program) {
         entry.exported_unused = Tokens::ZERO;
     }
@@ -74,7 +74,7 @@
 
 /// Drops the exported copy of a program that ended; tokens that were never reused count as
 /// abandoned.
-pub(crate) fn forget_copy(state: &mut State, program: ProgramId) {
+pub(crate) fn drop_copy(state: &mut State, program: ProgramId) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
@@ -87,11 +87,12 @@
 
 /// Whether a prefix of this size may be exported.
 pub(crate) fn has_space(state: &State, tokens: Tokens) -> bool {
-    tokens >= LEAST_IMPORT && state.exported.saturating_add(tokens) <= state.config.export_capacity
+    tokens >= MIN_TRANSFER_TOKENS
+        && state.exported.saturating_add(tokens) <= state.config.export_capacity
 }
 
 /// Cost of moving a prefix once, as a fraction of the cost of computing it.
-pub(crate) fn part_of_prefill(state: &State) -> f64 {
+pub(crate) fn transfer_cost_ratio(state: &State) -> f64 {
     let config = &state.config;
     let rates = config.prefill_tokens_per_second as f64 / config.transfer_tokens_per_second as f64;
     rates.min(1.0)
