--- a/crates/courseshed-dispatch/examples/dispatch_cost.rs
+++ b/crates/courseshed-dispatch/examples/dispatch_cost.rs
@@ -245,7 +245,7 @@
         let sequence = &mut self.sequences[number as usize];
         *sequence += 1;
         let call = call(number, *sequence, self.now);
-        self.say(DispatchRequestBody::Enqueue(Box::new(call)));
+        self.send(DispatchRequestBody::Enqueue(Box::new(call)));
     }
 
     fn end(&mut self, running: usize) {
@@ -259,7 +259,7 @@
             call,
             attempt: Attempt(1),
         };
-        self.say(DispatchRequestBody::Finished { request, usage });
+        self.send(DispatchRequestBody::Finished { request, usage });
         self.paused.push_back(call.program.number);
     }
 
@@ -274,12 +274,12 @@
                 let call = crate::call(number, call.sequence.0, self.now);
                 self.running.push(call.call);
                 let call = Box::new(call);
-                self.say(DispatchRequestBody::Started { call, engine });
+                self.send(DispatchRequestBody::Started { call, engine });
             }
         }
     }
 
-    fn say(&mut self, body: DispatchRequestBody) {
+    fn send(&mut self, body: DispatchRequestBody) {
         let request = DispatchRequest {
             pool: pool(),
             shard: ShardId(1),
--- a/crates/courseshed-dispatch/src/invariants/messages.rs
+++ b/crates/courseshed-dispatch/src/invariants/messages.rs
@@ -87,7 +87,7 @@
         }
     }
 
-    fn say(&mut self, body: DispatchRequestBody) {
+    fn send(&mut self, body: DispatchRequestBody) {
         let request = DispatchRequest {
             pool: pool(),
             shard: ShardId(1),
@@ -98,16 +98,16 @@
         self.dispatcher.on_request(self.now, request);
     }
 
-    pub(super) fn take(&mut self, input: Input) {
+    pub(super) fn apply(&mut self, input: Input) {
         match input {
             Input::Enqueue(program, sequence, attempt, branch) => {
                 let call = self.call(program, sequence, attempt, branch);
-                self.say(DispatchRequestBody::Enqueue(call));
+                self.send(DispatchRequestBody::Enqueue(call));
             }
             Input::Started(program, sequence, attempt, engine) => {
                 let call = self.call(program, sequence, attempt, 1);
                 let engine = ENGINES[engine].into();
-                self.say(DispatchRequestBody::Started { call, engine });
+                self.send(DispatchRequestBody::Started { call, engine });
             }
             Input::Finished(program, sequence, attempt, tokens) => {
                 let request = request(program, sequence, attempt);
@@ -116,30 +116,30 @@
                     cached_tokens: Tokens(tokens / 3),
                     completion_tokens: Tokens(10),
                 };
-                self.say(DispatchRequestBody::Finished { request, usage });
+                self.send(DispatchRequestBody::Finished { request, usage });
             }
             Input::Failed(program, sequence, attempt, engine_fault) => {
                 let request = request(program, sequence, attempt);
-                self.say(DispatchRequestBody::Failed {
+                self.send(DispatchRequestBody::Failed {
                     request,
                     engine_fault,
                 });
             }
             Input::Withdraw(program, sequence) => {
                 let call = request(program, sequence, 1).call;
-                self.say(DispatchRequestBody::Withdraw(call));
+                self.send(DispatchRequestBody::Withdraw(call));
             }
             Input::Ended(number) => {
                 let program = program(number);
-                self.say(DispatchRequestBody::ProgramEnded(program));
+                self.send(DispatchRequestBody::ProgramEnded(program));
             }
-            Input::AnnounceComplete => self.say(DispatchRequestBody::AnnounceComplete),
+            Input::AnnounceComplete => self.send(DispatchRequestBody::AnnounceComplete),
             Input::NewTerm => self.term += 1,
-            other => self.take_of_engines(other),
+            other => self.apply_engine_input(other),
         }
     }
 
-    fn take_of_engines(&mut self, input: Input) {
+    fn apply_engine_input(&mut self, input: Input) {
         let now = self.now;
         match input {
             Input::Directory(choice) => self.dispatcher.on_engines(now, &directory(choice)),
--- a/crates/courseshed-dispatch/src/invariants/mod.rs
+++ b/crates/courseshed-dispatch/src/invariants/mod.rs
@@ -143,11 +143,11 @@
     #![proptest_config(ProptestConfig::with_cases(1_000))]
 
     #[test]
-    fn tables_agree_after_any_messages(inputs in inputs()) {
+    fn tables_are_consistent_after_arbitrary_messages(inputs in inputs()) {
         let mut run = Run::new();
         run.dispatcher.on_engines(run.now, &directory(0));
         for input in inputs {
-            run.take(input);
+            run.apply(input);
             run.dispatcher.tick(run.now);
             check(&run.dispatcher.state);
             let late = run.dispatcher.next_wakeup().is_some_and(|at| at <= run.now);
--- a/crates/courseshed-dispatch/tests/affinity.rs
+++ b/crates/courseshed-dispatch/tests/affinity.rs
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_call_waits_for_its_prefix_and_goes_before_later_ones() {
+fn a_parked_call_precedes_later_calls() {
     let (mut driver, kept) = prefix_on_a_full_engine();
     let next = turn(1, 2, &driver);
     driver.enqueue(next.clone());
@@ -73,13 +73,13 @@
 }
 
 #[test]
-fn a_call_waits_no_longer_than_computing_its_prefix_would_take() {
+fn parking_is_limited_to_the_recompute_time() {
     let (mut driver, _) = prefix_on_a_full_engine();
     let next = turn(1, 2, &driver);
     driver.enqueue(next.clone());
     driver.tick();
-    assert!(driver.pass(Duration::from_millis(900)).is_empty());
-    let assigned = driver.pass(Duration::from_millis(200));
+    assert!(driver.advance(Duration::from_millis(900)).is_empty());
+    let assigned = driver.advance(Duration::from_millis(200));
     assert_eq!(
         (assigned[0].call, &assigned[0].engine),
         (next.call, &"e2".into())
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_branch_is_charged_for_a_call_that_waits_for_its_prefix() {
+fn a_parked_call_is_charged_and_refunded_on_withdrawal() {
     let (mut driver, _) = prefix_on_a_full_engine();
     let served = |driver: &Driver| driver.dispatcher.stats(driver.now).branches[0].served;
     let before = served(&driver);
@@ -95,12 +95,12 @@
     driver.enqueue(next.clone());
     driver.tick();
     assert!(served(&driver) > before);
-    driver.say(DispatchRequestBody::Withdraw(next.call));
+    driver.send(DispatchRequestBody::Withdraw(next.call));
     assert_eq!(served(&driver), before, "the charge is refunded");
 }
 
 #[test]
-fn a_call_with_a_small_prefix_does_not_wait() {
+fn a_call_with_a_small_prefix_is_not_parked() {
     let (mut driver, _) = prefix_on_a_full_engine();
     let mut next = turn(1, 2, &driver);
     next.prompt_tokens = Tokens(100);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn a_call_does_not_wait_for_an_engine_that_takes_no_work() {
+fn a_call_is_unparked_when_its_engine_is_ejected() {
     let (mut driver, _) = prefix_on_a_full_engine();
     driver.enqueue(turn(1, 2, &driver));
     assert!(driver.tick().is_empty());
@@ -120,18 +120,18 @@
 }
 
 #[test]
-fn a_parked_call_can_be_withdrawn_and_refused() {
+fn a_parked_call_is_shed_at_its_queue_deadline() {
     let (mut driver, _) = prefix_on_a_full_engine();
     let mut next = turn(1, 2, &driver);
     next.give_up_at = driver.now + Duration::from_millis(100);
     driver.enqueue(next.clone());
-    driver.pass(Duration::from_millis(200));
+    driver.advance(Duration::from_millis(200));
     assert_eq!(driver.shed[0].0, next.call);
     assert_eq!(driver.dispatcher.stats(driver.now).waiting, 0);
 }
 
 #[test]
-fn what_paused_programs_hold_does_not_make_an_engine_look_loaded() {
+fn leased_memory_does_not_count_as_load() {
     let mut driver = Driver::with_engines(&["e1", "e2"], 8);
     let mut first = turn(1, 1, &driver);
     first.prompt_tokens = Tokens(40_000);
@@ -154,7 +154,7 @@
 const PROGRAMS: u64 = 24;
 
 /// Keeps two branches backlogged with programs that make one call after another.
-struct Turns {
+struct Workload {
     driver: Driver,
     sequences: BTreeMap<u64, u64>,
     running: Vec<(WaitingCall, EngineId)>,
@@ -163,8 +163,8 @@
     cached: BTreeMap<u64, EngineId>,
 }
 
-impl Turns {
-    fn new(shares: [f64; 2]) -> Turns {
+impl Workload {
+    fn new(shares: [f64; 2]) -> Workload {
         let mut driver = Driver::with_engines(&ENGINES, SLOTS);
         for engine in ENGINES {
             let mut report = common::load(0, SLOTS);
@@ -172,7 +172,7 @@
             driver.report(engine, report);
         }
         driver.set_policy(policy(&[("a", shares[0]), ("b", shares[1])]));
-        let mut turns = Turns {
+        let mut workload = Workload {
             driver,
             sequences: BTreeMap::new(),
             running: Vec::new(),
@@ -180,11 +180,11 @@
             served: BTreeMap::new(),
             cached: BTreeMap::new(),
         };
-        (0..PROGRAMS).for_each(|number| turns.call_again(number));
-        turns
+        (0..PROGRAMS).for_each(|number| workload.enqueue_next_call(number));
+        workload
     }
 
-    fn call_again(&mut self, number: u64) {
+    fn enqueue_next_call(&mut self, number: u64) {
         let sequence = self.sequences.entry(number).or_default();
         *sequence += 1;
         let path = if number.is_multiple_of(2) { "a" } else { "b" };
@@ -206,7 +206,7 @@
     }
 
     /// Finishes a running call and counts the service it took, given its engine's cache.
-    fn end(&mut self, choice: usize) {
+    fn finish(&mut self, choice: usize) {
         let (ended, engine) = self.running.swap_remove(choice % self.running.len());
         let number = ended.call.program.number;
         let was_there = self.cached.insert(number, engine.clone()) == Some(engine);
@@ -214,7 +214,7 @@
         self.driver.finished(ended.call, usage(PROMPT, cached, 1));
         let service = (PROMPT - cached + 4) as f64;
         *self.served.entry(ended.branch.to_string()).or_default() += service;
-        self.call_again(number);
+        self.enqueue_next_call(number);
     }
 }
 
@@ -222,25 +222,25 @@
     #![proptest_config(ProptestConfig::with_cases(16))]
 
     #[test]
-    fn waiting_for_prefixes_does_not_break_the_shares(
+    fn parking_preserves_shares(
         shares in prop::array::uniform2(0.5f64..4.0),
         steps in prop::collection::vec((0usize..64, 0u64..400), 600),
     ) {
-        let mut turns = Turns::new(shares);
+        let mut workload = Workload::new(shares);
         let slots = (ENGINES.len() as u32 * SLOTS) as f64;
         // Per branch: one call, the running calls, which count when they finish and may be
         // overcharged by a whole prompt, and one parked call per engine.
         let uncertain = (1.0 + 2.0 * slots + ENGINES.len() as f64) * (PROMPT + 4) as f64;
         let bound = uncertain * (1.0 / shares[0] + 1.0 / shares[1]);
         for (choice, millis) in steps {
-            turns.assign();
-            turns.end(choice);
-            turns.driver.now += Duration::from_millis(millis);
-            let of = |branch: &str| turns.served.get(branch).copied().unwrap_or(0.0);
+            workload.assign();
+            workload.finish(choice);
+            workload.driver.now += Duration::from_millis(millis);
+            let of = |branch: &str| workload.served.get(branch).copied().unwrap_or(0.0);
             let drift = of("a") / shares[0] - of("b") / shares[1];
             prop_assert!(drift.abs() <= bound, "{drift} > {bound}");
         }
-        let stats = turns.driver.dispatcher.stats(turns.driver.now);
+        let stats = workload.driver.dispatcher.stats(workload.driver.now);
         prop_assert!(stats.counters.parked > 20, "calls were parked");
     }
 }
--- a/crates/courseshed-dispatch/tests/baselines.rs
+++ b/crates/courseshed-dispatch/tests/baselines.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn first_come_goes_first_whatever_its_branch_and_priority() {
+fn fifo_order_ignores_branch_and_priority() {
     let mut driver = driver(PolicyKind::FirstComeLeastLoad, &["e1"], 1);
     for number in 0..10 {
         let path = if number < 8 { "a" } else { "b" };
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn affinity_follows_the_prefix_while_loads_are_in_balance() {
+fn affinity_follows_the_prefix_while_loads_are_balanced() {
     let mut driver = with_prefix_on_busy_engine(20);
     let second = turn(1, 2, "a", 20_100, &driver);
     driver.enqueue(second);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn affinity_gives_way_when_loads_are_out_of_balance() {
+fn affinity_is_disabled_when_loads_are_imbalanced() {
     let mut driver = with_prefix_on_busy_engine(40);
     let second = turn(1, 2, "a", 20_100, &driver);
     driver.enqueue(second);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn affinity_does_not_follow_a_small_part_of_the_prompt() {
+fn affinity_ignores_a_small_cached_fraction() {
     let mut driver = with_prefix_on_busy_engine(20);
     let second = turn(1, 2, "a", 50_000, &driver);
     driver.enqueue(second);
@@ -134,7 +134,7 @@
 }
 
 #[test]
-fn a_client_that_was_idle_is_lifted_to_the_others() {
+fn the_counter_of_an_idle_client_is_lifted() {
     let mut driver = driver(PolicyKind::PerCallFair, &["e1"], 1);
     for number in 0..50 {
         let added = turn(number, 1, "a", 1_000, &driver);
--- a/crates/courseshed-dispatch/tests/calls.rs
+++ b/crates/courseshed-dispatch/tests/calls.rs
@@ -13,7 +13,7 @@
 };
 
 #[test]
-fn a_call_is_assigned_once_and_its_slot_comes_back() {
+fn a_call_is_assigned_once_and_releases_its_slot() {
     let mut driver = Driver::with_engines(&["e1"], 1);
     let first = call(1, 1, "/", driver.now);
     let second = call(2, 1, "/", driver.now);
@@ -46,13 +46,13 @@
     let first = call(1, 1, "/", driver.now);
     driver.enqueue(first.clone());
     driver.tick();
-    assert_eq!(driver.pass(Duration::from_secs(3)).len(), 1);
+    assert_eq!(driver.advance(Duration::from_secs(3)).len(), 1);
     driver.started(first, "e1");
-    assert!(driver.pass(Duration::from_secs(10)).is_empty());
+    assert!(driver.advance(Duration::from_secs(10)).is_empty());
 }
 
 #[test]
-fn what_comes_late_of_an_ended_attempt_is_dropped() {
+fn late_messages_of_an_ended_attempt_are_dropped() {
     let mut driver = Driver::with_engines(&["e1"], 4);
     let first = call(1, 1, "/", driver.now);
     driver.enqueue(first.clone());
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn calls_that_a_new_leader_does_not_name_are_forgotten() {
+fn calls_not_announced_by_a_new_leader_are_dropped() {
     let mut driver = Driver::with_engines(&["e1"], 4);
     let (lost, kept) = (call(1, 1, "/", driver.now), call(2, 1, "/", driver.now));
     driver.enqueue(lost);
@@ -107,7 +107,7 @@
     driver.tick();
     driver.term = 2;
     driver.started(kept, "e1");
-    driver.say(DispatchRequestBody::AnnounceComplete);
+    driver.send(DispatchRequestBody::AnnounceComplete);
     let stats = driver.dispatcher.stats(driver.now);
     assert_eq!(stats.in_flight, 1);
     assert_eq!(stats.engines[&"e1".into()].in_flight, 1);
@@ -121,28 +121,28 @@
     driver.enqueue(first.clone());
     driver.tick();
     driver.started(first, "e1");
-    driver.pass(Duration::from_secs(600));
-    assert_eq!(driver.announce_asked, 5);
+    driver.advance(Duration::from_secs(600));
+    assert_eq!(driver.announce_requests, 5);
 }
 
 #[test]
-fn a_withdrawn_call_gives_its_place_back() {
+fn a_withdrawn_call_releases_its_slot() {
     let mut driver = Driver::with_engines(&["e1"], 1);
     let (first, second) = (call(1, 1, "/", driver.now), call(2, 1, "/", driver.now));
     driver.enqueue(first.clone());
     driver.enqueue(second.clone());
     driver.tick();
-    driver.say(DispatchRequestBody::Withdraw(first.call));
+    driver.send(DispatchRequestBody::Withdraw(first.call));
     assert_eq!(driver.tick()[0].call, second.call);
 }
 
 #[test]
-fn a_call_that_waits_too_long_is_refused_as_not_run() {
+fn a_call_past_its_queue_deadline_is_shed_as_not_run() {
     let mut driver = Driver::with_engines(&["e1"], 1);
     driver.enqueue(call(1, 1, "/", driver.now));
     let late = call(2, 1, "/", driver.now);
     driver.enqueue(late.clone());
-    driver.pass(Duration::from_secs(61));
+    driver.advance(Duration::from_secs(61));
     assert_eq!(driver.shed.len(), 1, "an assigned call is never refused");
     let (refused, error) = &driver.shed[0];
     assert_eq!(*refused, late.call);
@@ -167,16 +167,16 @@
 }
 
 #[test]
-fn an_engine_that_never_reports_is_used_after_the_grace() {
+fn an_engine_that_never_reports_is_used_after_the_grace_period() {
     let mut driver = Driver::new(PolicyKind::Courseshed, DispatcherConfig::default());
     driver.list_engines(&["e1"]);
     driver.enqueue(call(1, 1, "/", driver.now));
     assert!(driver.tick().is_empty());
-    assert_eq!(driver.pass(Duration::from_secs(1)).len(), 1);
+    assert_eq!(driver.advance(Duration::from_secs(1)).len(), 1);
 }
 
 #[test]
-fn a_leaving_engine_gets_no_new_work_at_once() {
+fn a_leaving_engine_gets_no_new_calls() {
     let mut driver = Driver::with_engines(&["e1"], 4);
     let mut leaving = common::member("e1");
     leaving.state = EngineState::Leaving;
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn an_unconfirmed_assignment_to_an_engine_that_leaves_is_given_to_another() {
+fn an_unconfirmed_assignment_to_a_leaving_engine_is_moved_to_another() {
     let mut driver = Driver::with_engines(&["e1", "e2"], 4);
     let first = call(1, 1, "/", driver.now);
     driver.enqueue(first.clone());
@@ -204,7 +204,7 @@
     leaving.state = EngineState::Leaving;
     let members = [leaving, common::member(other)];
     driver.dispatcher.on_engines(driver.now, &members);
-    let again = driver.pass(Duration::from_secs(9));
+    let again = driver.advance(Duration::from_secs(9));
     assert!(!again.is_empty(), "the call is assigned again");
     let engines: Vec<&str> = again
         .iter()
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn demand_is_what_calls_ask_for_a_second() {
+fn demand_is_the_requested_service_per_second() {
     let mut driver = Driver::with_engines(&["e1"], 8);
     assert_eq!(driver.dispatcher.demand(driver.now), None);
     for number in 0..600 {
@@ -226,7 +226,7 @@
         driver.enqueue(asked.clone());
         driver.tick();
         driver.finished(asked.call, usage(500, 0, 20));
-        driver.pass(Duration::from_millis(500));
+        driver.advance(Duration::from_millis(500));
     }
     let demand = driver
         .dispatcher
--- a/crates/courseshed-dispatch/tests/common/mod.rs
+++ b/crates/courseshed-dispatch/tests/common/mod.rs
@@ -31,8 +31,8 @@
     pub term: u64,
     pub assigned: Vec<Assigned>,
     pub shed: Vec<(CallId, courseshed_types::CallError)>,
-    pub checked: Vec<ProgramId>,
-    pub announce_asked: usize,
+    pub checked_programs: Vec<ProgramId>,
+    pub announce_requests: usize,
     pub orders: Vec<EngineOrder>,
 }
 
@@ -138,8 +138,8 @@
             term: 1,
             assigned: Vec::new(),
             shed: Vec::new(),
-            checked: Vec::new(),
-            announce_asked: 0,
+            checked_programs: Vec::new(),
+            announce_requests: 0,
             orders: Vec::new(),
         }
     }
@@ -172,7 +172,7 @@
             .on_engine_load(self.now, &engine.into(), load);
     }
 
-    pub fn say(&mut self, body: DispatchRequestBody) {
+    pub fn send(&mut self, body: DispatchRequestBody) {
         let request = DispatchRequest {
             pool: pool(),
             shard: SHARD,
@@ -184,13 +184,13 @@
     }
 
     pub fn enqueue(&mut self, call: WaitingCall) {
-        self.say(DispatchRequestBody::Enqueue(Box::new(call)));
+        self.send(DispatchRequestBody::Enqueue(Box::new(call)));
     }
 
     pub fn started(&mut self, call: WaitingCall, engine: &str) {
         let engine = engine.into();
         let call = Box::new(call);
-        self.say(DispatchRequestBody::Started { call, engine });
+        self.send(DispatchRequestBody::Started { call, engine });
     }
 
     pub fn finished(&mut self, call: CallId, usage: Usage) {
@@ -198,7 +198,7 @@
             call,
             attempt: Attempt(1),
         };
-        self.say(DispatchRequestBody::Finished { request, usage });
+        self.send(DispatchRequestBody::Finished { request, usage });
     }
 
     pub fn failed(&mut self, call: CallId, engine_fault: bool) {
@@ -206,7 +206,7 @@
             call,
             attempt: Attempt(1),
         };
-        self.say(DispatchRequestBody::Failed {
+        self.send(DispatchRequestBody::Failed {
             request,
             engine_fault,
         });
@@ -221,7 +221,7 @@
                 DispatchOutput::Order(order) => self.orders.push(order),
                 DispatchOutput::Event { to, event } => {
                     assert_eq!(to, LEADER);
-                    self.hear(event.body, &mut assigned);
+                    self.record_event(event.body, &mut assigned);
                 }
             }
         }
@@ -230,7 +230,7 @@
     }
 
     /// Advances time, ticking at every wakeup, and returns the new assignments.
-    pub fn pass(&mut self, time: Duration) -> Vec<Assigned> {
+    pub fn advance(&mut self, time: Duration) -> Vec<Assigned> {
         let end = self.now + time;
         let mut assigned = Vec::new();
         while let Some(at) = self.dispatcher.next_wakeup().filter(|at| *at <= end) {
@@ -242,7 +242,7 @@
         assigned
     }
 
-    fn hear(&mut self, body: DispatchEventBody, assigned: &mut Vec<Assigned>) {
+    fn record_event(&mut self, body: DispatchEventBody, assigned: &mut Vec<Assigned>) {
         match body {
             DispatchEventBody::Assigned {
                 call,
@@ -257,8 +257,8 @@
                 priority,
             }),
             DispatchEventBody::Shed { call, error } => self.shed.push((call, error)),
-            DispatchEventBody::AnnounceAll => self.announce_asked += 1,
-            DispatchEventBody::CheckPrograms(programs) => self.checked.extend(programs),
+            DispatchEventBody::AnnounceAll => self.announce_requests += 1,
+            DispatchEventBody::CheckPrograms(programs) => self.checked_programs.extend(programs),
         }
     }
 }
--- a/crates/courseshed-dispatch/tests/engines.rs
+++ b/crates/courseshed-dispatch/tests/engines.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_engine_that_was_ejected_is_tried_with_one_call_until_it_ends_well() {
+fn an_ejected_engine_is_probed_with_one_call_until_it_succeeds() {
     let mut driver = Driver::with_engines(&["e1"], 10);
     let calls = enqueue_many(&mut driver, 1..4);
     driver.tick();
@@ -39,7 +39,7 @@
     }
     enqueue_many(&mut driver, 10..30);
     assert!(driver.tick().is_empty(), "the engine is ejected");
-    let tried = driver.pass(Duration::from_secs(8));
+    let tried = driver.advance(Duration::from_secs(8));
     assert_eq!(
         running(&driver),
         1,
@@ -51,22 +51,22 @@
         running(&driver) < 3,
         "slow start begins after the probe succeeds"
     );
-    driver.pass(Duration::from_secs(6));
+    driver.advance(Duration::from_secs(6));
     assert_eq!(running(&driver), 10);
 }
 
 #[test]
-fn an_engine_that_fails_its_trial_is_ejected_for_longer() {
+fn an_engine_that_fails_its_probe_is_ejected_for_longer() {
     let mut driver = Driver::with_engines(&["e1"], 10);
     driver
         .dispatcher
         .on_engine_unreachable(driver.now, &"e1".into());
     enqueue_many(&mut driver, 1..5);
-    let tried = driver.pass(Duration::from_millis(1_100));
+    let tried = driver.advance(Duration::from_millis(1_100));
     assert_eq!(tried.len(), 1);
     driver.failed(tried[0].call, true);
-    assert!(driver.pass(Duration::from_millis(1_500)).is_empty());
-    assert_eq!(driver.pass(Duration::from_millis(600)).len(), 1);
+    assert!(driver.advance(Duration::from_millis(1_500)).is_empty());
+    assert_eq!(driver.advance(Duration::from_millis(600)).len(), 1);
 }
 
 #[test]
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_large_call_is_not_passed_by_smaller_ones_for_ever() {
+fn a_large_call_is_not_bypassed_indefinitely() {
     let mut driver = with_memory(64);
     let mut running = Vec::new();
     for number in 0..6 {
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn a_call_that_needs_the_memory_takes_it_from_a_paused_program() {
+fn a_call_reclaims_memory_leased_by_a_paused_program() {
     let mut driver = with_memory(8);
     let paused = large(1, 40_000, &driver);
     driver.enqueue(paused.clone());
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn a_lease_stays_where_giving_it_up_would_not_help() {
+fn a_lease_is_kept_if_releasing_it_would_not_help() {
     let mut driver = with_memory(8);
     let paused = large(1, 20_000, &driver);
     driver.enqueue(paused.clone());
--- a/crates/courseshed-dispatch/tests/fairness.rs
+++ b/crates/courseshed-dispatch/tests/fairness.rs
@@ -100,7 +100,7 @@
 }
 
 /// Counts the whole prompt as uncached.
-fn all(call: &WaitingCall) -> u64 {
+fn whole_prompt(call: &WaitingCall) -> u64 {
     call.prompt_tokens.0
 }
 
@@ -174,11 +174,11 @@
         shares in prop::array::uniform4(0.2f64..8.0),
         steps in steps(),
     ) {
-        run_saturated(&shares, &steps, all, 0.0)?;
+        run_saturated(&shares, &steps, whole_prompt, 0.0)?;
     }
 
     #[test]
-    fn wrong_estimates_move_branches_by_no_more_than_the_corrections_under_way(
+    fn wrong_estimates_shift_shares_by_at_most_the_outstanding_corrections(
         shares in prop::array::uniform4(0.2f64..8.0),
         steps in steps(),
     ) {
@@ -192,19 +192,19 @@
 }
 
 #[test]
-fn a_branch_that_was_idle_saves_nothing_up() {
+fn an_idle_branch_accumulates_no_credit() {
     let mut run = Saturation::new(policy(&[("a", 1.0), ("b", 1.0)]), 1);
     for _ in 0..200 {
         run.add("a", 1_000, |_| {});
         run.assign();
-        run.end(0, all);
+        run.end(0, whole_prompt);
     }
     (0..20).for_each(|_| run.add("a", 1_000, |_| {}));
     (0..20).for_each(|_| run.add("b", 1_000, |_| {}));
     let mut first_ten = Vec::new();
     while first_ten.len() < 10 {
         first_ten.extend(run.assign().into_iter().map(|call| call.branch));
-        run.end(0, all);
+        run.end(0, whole_prompt);
     }
     let of_b = first_ten
         .iter()
@@ -214,14 +214,14 @@
 }
 
 #[test]
-fn what_one_branch_leaves_another_uses() {
+fn unused_share_goes_to_other_branches() {
     let mut run = Saturation::new(policy(&[("a", 1.0), ("b", 99.0)]), 4);
     (0..8).for_each(|_| run.add("a", 1_000, |_| {}));
     assert_eq!(run.assign().len(), 4);
 }
 
 #[test]
-fn a_floor_is_kept_against_a_large_share() {
+fn a_guaranteed_minimum_holds_against_a_large_share() {
     let mut tree = policy(&[("small", 1.0), ("large", 99.0)]);
     let floor = BranchPolicy {
         floor: 0.3,
@@ -236,7 +236,7 @@
         for assigned in run.assign() {
             run.add(assigned.branch.as_str(), 1_000, |_| {});
         }
-        run.end(0, all);
+        run.end(0, whole_prompt);
     }
     let served = run.served();
     let part = served["small"] / served["/"];
@@ -244,14 +244,14 @@
 }
 
 #[test]
-fn urgent_calls_overtake_but_their_branch_pays() {
+fn urgent_calls_go_first_but_are_charged_to_their_branch() {
     let mut run = Saturation::new(policy(&[("urgent", 1.0), ("batch", 1.0)]), 2);
     (0..4).for_each(|_| run.add("batch", 1_000, |_| {}));
     run.assign();
     (0..4).for_each(|_| run.add("urgent", 1_000, |call| call.priority = 3));
     let mut order = Vec::new();
     for _ in 0..2_000 {
-        run.end(0, all);
+        run.end(0, whole_prompt);
         for assigned in run.assign() {
             order.push(assigned.branch.clone());
             let priority = assigned.priority;
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_call_of_a_long_program_is_not_overtaken_for_ever() {
+fn a_call_of_a_long_program_is_not_starved() {
     let mut run = Saturation::new(policy(&[("a", 1.0)]), 1);
     run.add("a", 500, |_| {});
     run.assign();
@@ -288,7 +288,7 @@
     while run.waiting.contains_key(&long) {
         run.driver.now += Duration::from_millis(500);
         run.add("a", 500, |_| {});
-        run.end(0, all);
+        run.end(0, whole_prompt);
         run.assign();
         waited += 1;
         assert!(waited < 100, "the call was overtaken for 50 s");
@@ -297,13 +297,13 @@
 }
 
 #[test]
-fn an_explanation_counts_service_of_late_only() {
+fn an_explanation_counts_only_recent_service() {
     let mut run = Saturation::new(policy(&[("a", 1.0), ("b", 1.0)]), 1);
     let serve_only = |run: &mut Saturation, path: &str, calls: usize| {
         for _ in 0..calls {
             run.add(path, 100_000, |_| {});
             run.assign();
-            run.end(0, all);
+            run.end(0, whole_prompt);
         }
     };
     serve_only(&mut run, "a", 2_000);
--- a/crates/courseshed-dispatch/tests/pauses.rs
+++ b/crates/courseshed-dispatch/tests/pauses.rs
@@ -36,15 +36,15 @@
 }
 
 /// Records pauses of length `pause` for 40 programs of branch `a`, all of which resume.
-fn teach_pauses(driver: &mut Driver, pause: Duration) {
+fn record_pauses(driver: &mut Driver, pause: Duration) {
     for number in 1_000..1_040 {
         run_turn(driver, (number, 1, "a", 100));
     }
-    driver.pass(pause);
+    driver.advance(pause);
     for number in 1_000..1_040 {
         run_turn(driver, (number, 2, "a", 100));
         let program = common::program(number);
-        driver.say(DispatchRequestBody::ProgramEnded(program));
+        driver.send(DispatchRequestBody::ProgramEnded(program));
     }
     driver.tick();
     driver.orders.clear();
@@ -66,16 +66,16 @@
     driver.orders.iter().any(|order| wanted(&order.body))
 }
 
-fn exports(program: ProgramId) -> impl Fn(&EngineOrderBody) -> bool {
+fn is_export_of(program: ProgramId) -> impl Fn(&EngineOrderBody) -> bool {
     move |body| *body == EngineOrderBody::Export { program }
 }
 
 #[test]
-fn a_pause_that_is_usually_short_is_held_to_its_end() {
+fn a_prefix_is_leased_through_a_typically_short_pause() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(4));
+    record_pauses(&mut driver, Duration::from_secs(4));
     run_turn(&mut driver, (1, 1, "a", 30_000));
-    driver.pass(Duration::from_secs(4));
+    driver.advance(Duration::from_secs(4));
     assert_eq!(stats_of(&driver, "a").leased_tokens, 30_010);
     assert_eq!(
         stats_of(&driver, "/").leased_tokens,
@@ -85,16 +85,16 @@
 }
 
 #[test]
-fn a_prefix_is_let_go_when_its_program_stays_away_longer_than_any_before() {
+fn a_lease_is_released_when_a_pause_exceeds_all_samples() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(4));
+    record_pauses(&mut driver, Duration::from_secs(4));
     run_turn(&mut driver, (1, 1, "a", 30_000));
-    driver.pass(Duration::from_secs(30));
+    driver.advance(Duration::from_secs(30));
     assert_eq!(stats_of(&driver, "a").leased_tokens, 0);
 }
 
 /// Fills most of an engine's memory with calls of branch `b`.
-fn press(driver: &mut Driver) {
+fn apply_memory_pressure(driver: &mut Driver) {
     for number in 500..504 {
         let prompt = 7_000;
         let next = turn(number, 1, "b", prompt, driver);
@@ -104,14 +104,14 @@
 }
 
 #[test]
-fn a_long_pause_under_pressure_is_copied_out_and_brought_back_before_the_call_starts() {
+fn under_pressure_a_long_pause_is_exported_and_imported_before_the_next_call() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(100));
-    press(&mut driver);
+    record_pauses(&mut driver, Duration::from_secs(100));
+    apply_memory_pressure(&mut driver);
     run_turn(&mut driver, (1, 1, "a", 30_000));
     let program = common::program(1);
-    driver.pass(Duration::from_secs(20));
-    assert!(has_order(&driver, exports(program)));
+    driver.advance(Duration::from_secs(20));
+    assert!(has_order(&driver, is_export_of(program)));
     assert_eq!(stats_of(&driver, "a").leased_tokens, 0);
     let gone = CacheEvent {
         number: 1,
@@ -133,7 +133,7 @@
         "the call is assigned only after the import"
     );
     assert!(has_order(&driver, |body| *body == EngineOrderBody::Import { program }));
-    assert_eq!(driver.pass(Duration::from_millis(300)).len(), 1);
+    assert_eq!(driver.advance(Duration::from_millis(300)).len(), 1);
     assert_eq!(
         (counters(&driver).exports, counters(&driver).imports),
         (1, 1)
@@ -141,11 +141,11 @@
 }
 
 #[test]
-fn without_pressure_nothing_is_copied() {
+fn nothing_is_exported_without_pressure() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(100));
+    record_pauses(&mut driver, Duration::from_secs(100));
     run_turn(&mut driver, (1, 1, "a", 10_000));
-    driver.pass(Duration::from_secs(400));
+    driver.advance(Duration::from_secs(400));
     assert_eq!(counters(&driver).exports, 0);
 }
 
@@ -153,7 +153,7 @@
 fn a_listing_without_a_lease_ends_the_lease_but_not_the_prefix() {
     let mut driver = driver(&["e1", "e2"]);
     run_turn(&mut driver, (1, 1, "a", 10_000));
-    driver.pass(Duration::from_secs(4));
+    driver.advance(Duration::from_secs(4));
     assert!(stats_of(&driver, "a").leased_tokens > 0);
     driver
         .dispatcher
@@ -168,10 +168,10 @@
 }
 
 #[test]
-fn a_listing_with_fewer_tokens_corrects_what_is_held() {
+fn a_listing_with_fewer_tokens_corrects_the_lease() {
     let mut driver = driver(&["e1"]);
     run_turn(&mut driver, (1, 1, "a", 10_000));
-    driver.pass(Duration::from_secs(4));
+    driver.advance(Duration::from_secs(4));
     let entry = LeaseEntry {
         program: common::program(1),
         tokens: Tokens(4_000),
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn a_cache_share_counts_what_branches_below_hold() {
+fn a_cache_share_includes_descendant_branches() {
     let mut driver = Driver::with_engines(&["e1"], 8);
     let mut tree = policy(&[("a", 1.0), ("a/x", 1.0), ("b", 1.0)]);
     let capped = BranchPolicy {
@@ -195,7 +195,7 @@
     driver.set_policy(tree);
     run_turn(&mut driver, (1, 1, "a/x", 10_000));
     run_turn(&mut driver, (2, 1, "b", 10_000));
-    driver.pass(Duration::from_secs(6));
+    driver.advance(Duration::from_secs(6));
     assert_eq!(
         stats_of(&driver, "a/x").leased_tokens,
         0,
@@ -205,7 +205,7 @@
 }
 
 #[test]
-fn an_eviction_is_charged_to_the_branch_that_has_too_much() {
+fn an_eviction_is_charged_to_the_branch_that_exceeds_its_share() {
     let mut driver = driver(&["e1"]);
     run_turn(&mut driver, (1, 1, "a", 5_000));
     run_turn(&mut driver, (2, 1, "b", 40_000));
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn what_a_call_does_not_find_was_evicted_unheard() {
+fn missing_cached_tokens_count_as_evicted() {
     let mut driver = driver(&["e1"]);
     run_turn(&mut driver, (1, 1, "a", 5_000));
     let next = turn(1, 2, "a", 5_100, &driver);
@@ -234,24 +234,24 @@
 }
 
 #[test]
-fn a_copy_that_nothing_uses_is_abandoned_with_its_program() {
+fn an_unused_export_is_abandoned_when_its_program_ends() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(100));
+    record_pauses(&mut driver, Duration::from_secs(100));
     let before = stats_of(&driver, "a").waste.abandoned;
-    press(&mut driver);
+    apply_memory_pressure(&mut driver);
     run_turn(&mut driver, (1, 1, "a", 30_000));
-    driver.pass(Duration::from_secs(20));
+    driver.advance(Duration::from_secs(20));
     assert_eq!(counters(&driver).exports, 1);
     let program = common::program(1);
-    driver.say(DispatchRequestBody::ProgramEnded(program));
+    driver.send(DispatchRequestBody::ProgramEnded(program));
     assert_eq!(stats_of(&driver, "a").waste.abandoned - before, 30_010);
 }
 
 #[test]
-fn a_listing_of_a_prefix_without_lease_says_nothing_of_a_lease() {
+fn a_listed_prefix_without_a_lease_does_not_confirm_a_lease() {
     let mut driver = driver(&["e1"]);
     run_turn(&mut driver, (1, 1, "a", 10_000));
-    driver.pass(Duration::from_secs(4));
+    driver.advance(Duration::from_secs(4));
     let entry = LeaseEntry {
         program: common::program(1),
         tokens: Tokens(10_000),
@@ -264,35 +264,39 @@
 }
 
 #[test]
-fn a_prefix_is_not_copied_out_for_a_program_that_stays_away_longer_than_any_before() {
+fn a_prefix_is_not_exported_when_a_pause_exceeds_all_samples() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(4));
+    record_pauses(&mut driver, Duration::from_secs(4));
     run_turn(&mut driver, (1, 1, "a", 30_000));
-    driver.pass(Duration::from_secs(1));
-    press(&mut driver);
+    driver.advance(Duration::from_secs(1));
+    apply_memory_pressure(&mut driver);
     assert_eq!(stats_of(&driver, "a").leased_tokens, 30_010);
-    driver.pass(Duration::from_secs(19));
+    driver.advance(Duration::from_secs(19));
     assert_eq!(stats_of(&driver, "a").leased_tokens, 0);
     assert_eq!(counters(&driver).exports, 0);
 }
 
 #[test]
-fn a_shard_is_asked_whether_programs_live_that_memory_is_held_for() {
+fn shards_are_asked_about_programs_with_leases() {
     let mut driver = driver(&["e1"]);
-    teach_pauses(&mut driver, Duration::from_secs(20));
-    driver.checked.clear();
+    record_pauses(&mut driver, Duration::from_secs(20));
+    driver.checked_programs.clear();
     run_turn(&mut driver, (1, 1, "a", 4_000));
-    driver.pass(Duration::from_secs(8));
+    driver.advance(Duration::from_secs(8));
     let program = common::program(1);
     assert!(renewals(&driver, program) > 0, "the prefix is leased");
-    assert!(driver.checked.contains(&program), "{:?}", driver.checked);
-    driver.say(DispatchRequestBody::ProgramEnded(program));
-    driver.pass(Duration::from_secs(2));
+    assert!(
+        driver.checked_programs.contains(&program),
+        "{:?}",
+        driver.checked_programs
+    );
+    driver.send(DispatchRequestBody::ProgramEnded(program));
+    driver.advance(Duration::from_secs(2));
     let before = renewals(&driver, program);
-    driver.checked.clear();
-    driver.pass(Duration::from_secs(30));
+    driver.checked_programs.clear();
+    driver.advance(Duration::from_secs(30));
     assert_eq!(renewals(&driver, program), before);
-    assert!(!driver.checked.contains(&program));
+    assert!(!driver.checked_programs.contains(&program));
 }
 
 fn renewals(driver: &Driver, program: ProgramId) -> usize {
--- a/crates/courseshed-dispatch/tests/placement.rs
+++ b/crates/courseshed-dispatch/tests/placement.rs
@@ -173,7 +173,7 @@
     }
 
     #[test]
-    fn a_small_wave_of_demand_moves_nothing(mut fleet in fleets()) {
+    fn small_demand_changes_add_no_copies(mut fleet in fleets()) {
         let settings = PlacementSettings::default();
         for _ in 0..fleet.engines.len() * 8 {
             let moves = plan(&settings, &fleet);
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn a_model_without_a_copy_gets_one_at_once_from_a_model_with_service_to_spare() {
+fn a_model_without_a_copy_replaces_one_with_spare_capacity() {
     let mut busy = engine("z1", 1, &["m1"]);
     busy.changed_at = Some(Timestamp::from_millis(9_999_000));
     let engines = [("e1", busy.clone()), ("e2", busy.clone()), ("e3", busy)];
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn an_engine_that_changed_of_late_is_left_alone() {
+fn a_recently_changed_engine_is_not_changed_again() {
     let mut fresh = engine("z1", 1, &[]);
     fresh.changed_at = Some(Timestamp::from_millis(9_900_000));
     let engines = [("e1", engine("z1", 1, &["m1"])), ("e2", fresh)];
@@ -244,7 +244,7 @@
 }
 
 #[test]
-fn an_adapter_is_loaded_where_its_model_is_in_place_of_one_nobody_wants() {
+fn an_adapter_replaces_an_unused_one_on_an_engine_with_its_model() {
     let mut holder = engine("z1", 1, &["m1"]);
     let held = vec!["old".to_owned(), "kept".to_owned()];
     holder.models.insert("m1".into(), held);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn engines_are_split_by_the_parts_of_service_and_stay_so() {
+fn roles_follow_the_prefill_fraction_and_stay_stable() {
     let settings = PlacementSettings {
         min_engines_for_roles: Some(4),
         moves_per_period: 10,
@@ -295,7 +295,7 @@
 }
 
 #[test]
-fn a_move_becomes_an_order_under_its_fence() {
+fn a_move_becomes_an_order_with_its_fencing_token() {
     let made = PlacementMove {
         engine: "e1".into(),
         change: PlacementChange::LoadModel("m1".into()),
--- a/crates/courseshed-dispatch/tests/shedding.rs
+++ b/crates/courseshed-dispatch/tests/shedding.rs
@@ -25,7 +25,7 @@
         for assigned in driver.tick() {
             driver.finished(assigned.call, usage(500, 0, 20));
         }
-        driver.pass(Duration::from_secs(1));
+        driver.advance(Duration::from_secs(1));
     }
 }
 
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn the_branch_that_is_furthest_over_its_part_is_shed_first() {
+fn the_branch_that_most_exceeds_its_share_is_shed_first() {
     let config = DispatcherConfig {
         max_waiting: 50,
         min_branch_waiting: 10,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn a_call_whose_turn_can_not_come_in_time_is_refused_at_once() {
+fn a_call_that_can_not_be_served_in_time_is_shed_immediately() {
     let mut driver = driver(DispatcherConfig::default());
     serve(&mut driver, 30);
     for number in 0..400 {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_branch_with_few_calls_is_not_refused_for_the_queue_of_another() {
+fn a_short_queue_is_not_shed_for_the_queue_of_another_branch() {
     let mut driver = driver(DispatcherConfig::default());
     serve(&mut driver, 30);
     for number in 0..400 {
