--- a/crates/courseshed-dispatch/src/config.rs
+++ b/crates/courseshed-dispatch/src/config.rs
@@ -87,7 +87,7 @@
     pub lease: Duration,
     /// Maximum time the prefix of a paused program is leased.
     pub max_hold: Duration,
-    /// Age after which a load report is ignored.
+    /// Age after which the call counts of a load report are ignored.
     pub max_report_age: Duration,
     /// Time without messages after which a paused program is dropped.
     pub program_idle_timeout: Duration,
--- a/crates/courseshed-dispatch/src/estimates/decaying_rate.rs
+++ b/crates/courseshed-dispatch/src/estimates/decaying_rate.rs
@@ -47,8 +47,8 @@
         {
             return None;
         }
-        let seen = time_constant * (1.0 - (-time / time_constant).exp());
-        Some(self.amount * remaining / seen)
+        let observed = time_constant * (1.0 - (-time / time_constant).exp());
+        Some(self.amount * remaining / observed)
     }
 
     /// Fraction of the accumulated sums that remains at `now`.
--- a/crates/courseshed-dispatch/src/estimates/workload.rs
+++ b/crates/courseshed-dispatch/src/estimates/workload.rs
@@ -61,9 +61,9 @@
     ) -> Option<f64> {
         let histogram = self.select(branch, |estimates| &estimates.pause_millis);
         let elapsed = elapsed.as_millis() as f64;
-        let chance = histogram.end_probability(elapsed, horizon.as_millis() as f64);
-        let exceeds_all_samples = histogram.weight() >= MIN_SAMPLES;
-        chance.or(exceeds_all_samples.then_some(0.0))
+        let probability = histogram.end_probability(elapsed, horizon.as_millis() as f64);
+        let has_enough_samples = histogram.weight() >= MIN_SAMPLES;
+        probability.or(has_enough_samples.then_some(0.0))
     }
 
     /// Probability that a pause followed by another call lasts longer than `elapsed`.
@@ -113,11 +113,11 @@
         let branch = BranchPath::root();
         let mut workload = WorkloadEstimates::default();
         let (short, long) = (Duration::from_secs(4), Duration::from_secs(60));
-        let chance =
+        let probability =
             |workload: &WorkloadEstimates| workload.resume_probability_within(&branch, long, short);
-        assert_eq!(chance(&workload), None, "no samples");
+        assert_eq!(probability(&workload), None, "no samples");
         (0..40).for_each(|_| workload.record_pause(&branch, short));
-        assert_eq!(chance(&workload), Some(0.0));
+        assert_eq!(probability(&workload), Some(0.0));
         assert_eq!(workload.pause_survival(&branch, long), Some(0.0));
         assert_eq!(workload.pause_survival(&branch, Duration::ZERO), Some(1.0));
     }
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -59,18 +59,18 @@
     }
     let mut tree = state.branches.clone();
     let warp = state.config.warp_per_priority;
-    let mut place = 0;
+    let mut ahead = 0;
     while let Some((queue, next)) = fairness::next_call(&tree) {
         if next == call {
             break;
         }
-        place += 1;
+        ahead += 1;
         let charged = expected_charge(state, next);
         fairness::begin_service(&mut tree, queue);
         tree.node_mut(queue).queue.pop_first();
         fairness::charge(&mut tree, queue, charged, warp);
     }
-    place
+    ahead
 }
 
 /// The expected charge of a call, assuming it finds its prefix cached.
@@ -94,11 +94,11 @@
         let engine = &parking.engine;
         return format!("the call waits for engine {engine}, which caches its prefix");
     }
-    let live = |state_of: EngineState| state_of == EngineState::Live;
+    let is_live = |engine_state: EngineState| engine_state == EngineState::Live;
     if !state
         .engines
         .iter()
-        .any(|(_, engine)| live(engine.member.state))
+        .any(|(_, engine)| is_live(engine.member.state))
     {
         return "no live engine serves the model".to_string();
     }
@@ -119,11 +119,11 @@
 fn branch_stats(state: &State) -> Vec<BranchStats> {
     let mut waiting: BTreeMap<NodeIndex, usize> = BTreeMap::new();
     for (index, node) in state.branches.iter() {
-        for above in state.branches.path_to_root(index) {
-            *waiting.entry(above).or_default() += node.queue.len();
+        for ancestor in state.branches.path_to_root(index) {
+            *waiting.entry(ancestor).or_default() += node.queue.len();
         }
     }
-    let of_node = |(index, node): (NodeIndex, &crate::tables::BranchNode)| {
+    let branch_entry = |(index, node): (NodeIndex, &crate::tables::BranchNode)| {
         let account = state
             .cache_accounts
             .get(&node.path)
@@ -139,7 +139,7 @@
             waste: account.map_or(Waste::default(), |account| account.waste),
         }
     };
-    state.branches.iter().map(of_node).collect()
+    state.branches.iter().map(branch_entry).collect()
 }
 
 fn engine_stats(state: &State, now: Timestamp) -> BTreeMap<EngineId, EngineStats> {
--- a/crates/courseshed-dispatch/src/systems/announcement.rs
+++ b/crates/courseshed-dispatch/src/systems/announcement.rs
@@ -36,13 +36,13 @@
     let generation = entry.generation;
     entry.announced = true;
     entry.generation += 1;
-    let gone: Vec<CallId> = state
+    let unannounced: Vec<CallId> = state
         .calls
         .iter()
         .filter(|(_, call)| call.shard == shard && call.generation < generation)
         .map(|(id, _)| *id)
         .collect();
-    for call in gone {
+    for call in unannounced {
         state.counters.forgotten_calls += 1;
         requests::remove_call(state, call);
     }
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -74,9 +74,9 @@
         .programs
         .get(&program)
         .and_then(|entry| entry.prefix.as_ref());
-    let believed = prefix.filter(|prefix| prefix.engine == *engine);
-    let believed = believed.map_or(Tokens::ZERO, |prefix| prefix.tokens);
-    if found.saturating_add(LOOKUP_ROUNDING) < believed {
+    let recorded = prefix.filter(|prefix| prefix.engine == *engine);
+    let recorded = recorded.map_or(Tokens::ZERO, |prefix| prefix.tokens);
+    if found.saturating_add(LOOKUP_ROUNDING) < recorded {
         shrink(state, program, engine, found);
     }
 }
@@ -96,7 +96,7 @@
     }
     match event.change {
         CacheChange::Stored(_) => {}
-        CacheChange::Evicted(left) => shrink(state, event.program, engine, left),
+        CacheChange::Evicted(remaining) => shrink(state, event.program, engine, remaining),
     }
 }
 
@@ -113,10 +113,10 @@
         .filter(|entry| entry.leased_for.is_some())
         .map(|entry| (entry.program, entry.tokens))
         .collect();
-    for (program, believed) in settled_leases_on(state, now, engine) {
+    for (program, recorded) in settled_leases_on(state, now, engine) {
         match listed.get(&program) {
             None => pauses::handle_lost_lease(state, now, program),
-            Some(held) if *held < believed => pauses::handle_shrunk_lease(state, program, *held),
+            Some(held) if *held < recorded => pauses::handle_shrunk_lease(state, program, *held),
             Some(_) => {}
         }
     }
@@ -147,20 +147,20 @@
         .programs
         .get(&program)
         .and_then(|entry| entry.prefix.as_ref());
-    let Some(left) = prefix.map(|prefix| prefix.engine.clone()) else {
+    let Some(previous) = prefix.map(|prefix| prefix.engine.clone()) else {
         return;
     };
-    if left == *engine {
+    if previous == *engine {
         pauses::remove_lease(state, program);
         return;
     }
     drop_prefix(state, program, |waste, tokens| waste.moved += tokens);
     if state.strategy.leases_prefixes {
-        state.send_order(left, EngineOrderBody::ReleaseLease { program });
+        state.send_order(previous, EngineOrderBody::ReleaseLease { program });
     }
 }
 
-fn shrink(state: &mut State, program: ProgramId, engine: &EngineId, left: Tokens) {
+fn shrink(state: &mut State, program: ProgramId, engine: &EngineId, remaining: Tokens) {
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
@@ -168,17 +168,17 @@
     let Some(prefix) = entry.prefix.as_mut() else {
         return;
     };
-    if prefix.engine != *engine || left >= prefix.tokens {
+    if prefix.engine != *engine || remaining >= prefix.tokens {
         return;
     }
-    let evicted = prefix.tokens.saturating_sub(left);
+    let evicted = prefix.tokens.saturating_sub(remaining);
     let wasted = evicted.min(prefix.unused);
-    let before = std::mem::replace(&mut prefix.tokens, left);
+    let before = std::mem::replace(&mut prefix.tokens, remaining);
     prefix.unused = prefix.unused.saturating_sub(wasted);
-    let is_gone = left == Tokens::ZERO;
+    let is_gone = remaining == Tokens::ZERO;
     let charged = branch_charged_for_eviction(state, &branch);
     state.cache_account(&charged).waste.evicted += wasted.0;
-    update_cached(state, &branch, before, left);
+    update_cached(state, &branch, before, remaining);
     if is_gone {
         drop_prefix(state, program, |_, _| {});
     }
@@ -232,19 +232,19 @@
 /// Leased programs on an engine that have been paused for longer than `LISTING_LAG`, with their
 /// leased tokens.
 fn settled_leases_on(state: &State, now: Timestamp, engine: &EngineId) -> Vec<(ProgramId, Tokens)> {
-    let mut believed = Vec::new();
+    let mut recorded = Vec::new();
     for (id, program) in state.programs.iter() {
         let is_settled = program
             .paused_since
             .is_some_and(|since| now.since(since) > LISTING_LAG);
         match &program.prefix {
             Some(prefix) if is_settled && prefix.engine == *engine && is_leased(prefix) => {
-                believed.push((*id, prefix.leased_tokens));
+                recorded.push((*id, prefix.leased_tokens));
             }
             _ => {}
         }
     }
-    believed
+    recorded
 }
 
 /// Releases leases of unknown programs, once a new dispatcher has had time to learn about all
--- a/crates/courseshed-dispatch/src/systems/engine_health.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_health.rs
@@ -15,18 +15,18 @@
 
 /// Applies the engine directory, which lists the engines of all pools.
 pub(crate) fn apply_directory(state: &mut State, now: Timestamp, members: &[EngineMember]) {
-    let of_pool = |member: &&EngineMember| {
+    let is_in_pool = |member: &&EngineMember| {
         member.region == state.pool.region && member.models.contains(&state.pool.model)
     };
-    let members: Vec<EngineMember> = members.iter().filter(of_pool).cloned().collect();
-    let named: BTreeSet<EngineId> = members.iter().map(|member| member.engine.clone()).collect();
-    let gone: Vec<EngineId> = state
+    let members: Vec<EngineMember> = members.iter().filter(is_in_pool).cloned().collect();
+    let listed: BTreeSet<EngineId> = members.iter().map(|member| member.engine.clone()).collect();
+    let removed: Vec<EngineId> = state
         .engines
         .iter()
         .map(|(id, _)| id.clone())
-        .filter(|id| !named.contains(id))
+        .filter(|id| !listed.contains(id))
         .collect();
-    for engine in gone {
+    for engine in removed {
         parking::unpark_all(state, now, &engine);
         cache_view::drop_engine(state, &engine);
         state.engines.remove(&engine);
@@ -112,13 +112,13 @@
         }
         Some(entry) => {
             let was_down = entry.member.state == EngineState::Down;
-            let comes_back = was_down && member.state == EngineState::Live;
-            let goes_down = !was_down && member.state == EngineState::Down;
+            let recovers = was_down && member.state == EngineState::Live;
+            let fails = !was_down && member.state == EngineState::Down;
             entry.member = member;
-            if comes_back {
+            if recovers {
                 begin_slow_start(state, now, &engine);
             }
-            if goes_down {
+            if fails {
                 cache_view::drop_engine(state, &engine);
             }
         }
--- a/crates/courseshed-dispatch/src/systems/engine_selection.rs
+++ b/crates/courseshed-dispatch/src/systems/engine_selection.rs
@@ -200,9 +200,9 @@
     let Some(room) = engine.available_memory(&state.config) else {
         return true;
     };
-    let overtakes = engine.in_flight >= engine.call_limit(&state.config, now);
+    let exceeds_limit = engine.in_flight >= engine.call_limit(&state.config, now);
     let size = engine.memory_capacity();
-    if overtakes && size.is_some_and(|size| size >= requirements.memory) {
+    if exceeds_limit && size.is_some_and(|size| size >= requirements.memory) {
         return true;
     }
     let leased = requirements.leased_on(&engine.member.engine);
--- a/crates/courseshed-dispatch/src/systems/fairness.rs
+++ b/crates/courseshed-dispatch/src/systems/fairness.rs
@@ -70,10 +70,10 @@
     tree: &mut BranchTable,
     queue: NodeIndex,
     charged: Service,
-    counted: Service,
+    reported: Service,
     warp: u64,
 ) {
-    let difference = i128::from(counted.0) - i128::from(charged.0);
+    let difference = i128::from(reported.0) - i128::from(charged.0);
     for index in path(tree, queue) {
         advance(tree, index, difference);
     }
@@ -138,9 +138,9 @@
     let own = node.queue.first().map(|(rank, _)| rank.urgency);
     let below = node.by_urgency.last().map(|(urgency, _)| *urgency);
     let urgency = own.or(below)?;
-    let overtakes = i128::from(urgency) * i128::from(warp);
+    let warp_units = i128::from(urgency) * i128::from(warp);
     Some(Listing {
-        effective_start: node.start_tag - VirtualTime::from_service(overtakes, 1.0),
+        effective_start: node.start_tag - VirtualTime::from_service(warp_units, 1.0),
         urgency,
         floor: (node.floor > 0.0).then_some(node.floor_start_tag),
     })
--- a/crates/courseshed-dispatch/src/systems/requests.rs
+++ b/crates/courseshed-dispatch/src/systems/requests.rs
@@ -121,8 +121,8 @@
     let Some(entry) = end_attempt(state, &request) else {
         return;
     };
-    let counted = counted_service(state, &usage);
-    settle(state, &entry, Some(counted));
+    let reported = reported_service(state, &usage);
+    settle(state, &entry, Some(reported));
     state
         .workload
         .record_output(entry.branch(), usage.completion_tokens);
@@ -142,7 +142,7 @@
     pauses::begin(state, now, request.call.program);
 }
 
-fn counted_service(state: &State, usage: &Usage) -> Service {
+fn reported_service(state: &State, usage: &Usage) -> Service {
     let cached = match state.strategy.charging {
         Charging::Service => usage.cached_tokens,
         Charging::VirtualTokens => Tokens::ZERO,
@@ -264,18 +264,18 @@
     queueing::remove(state, request.call)
 }
 
-/// Releases the call's capacity on its engine and replaces the estimated charge by `counted`.
-fn settle(state: &mut State, entry: &CallEntry, counted: Option<Service>) {
+/// Releases the call's capacity on its engine and replaces the estimated charge by `reported`.
+fn settle(state: &mut State, entry: &CallEntry, reported: Option<Service>) {
     let Some(assignment) = entry.assignment() else {
         return;
     };
     if let Some(engine) = state.engines.get_mut(&assignment.engine) {
         engine.remove_call(assignment.memory, assignment.priority);
     }
-    if let Some(counted) = counted {
+    if let Some(reported) = reported {
         let warp = state.config.warp_per_priority;
         let charged = assignment.charged;
-        fairness::correct(&mut state.branches, entry.queue, charged, counted, warp);
+        fairness::correct(&mut state.branches, entry.queue, charged, reported, warp);
     }
 }
 
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -93,13 +93,13 @@
 
 /// The last call of the queue that is longest relative to its share.
 fn worst_call(state: &State) -> Option<(NodeIndex, CallId)> {
-    let least = state.config.min_branch_waiting;
+    let min = state.config.min_branch_waiting;
     let queue_per_share =
         |index: NodeIndex, waiting: usize| waiting as f64 / state.branches.entitled_share(index);
     let (index, _) = state
         .branches
         .iter()
-        .filter(|(_, node)| node.queue.len() > least)
+        .filter(|(_, node)| node.queue.len() > min)
         .max_by(|(left, left_node), (right, right_node)| {
             let left = queue_per_share(*left, left_node.queue.len());
             left.total_cmp(&queue_per_share(*right, right_node.queue.len()))
@@ -115,11 +115,11 @@
 
 /// Suggested retry delay: the time to drain the current queue.
 fn expected_wait(state: &State, now: Timestamp, queue: NodeIndex) -> Duration {
-    let part = state.calls.waiting() as f64 / state.config.max_waiting.max(1) as f64;
-    let assumed = MAX_RETRY_DELAY.as_secs_f64() * part;
-    let seconds = estimated_wait(state, now, queue).unwrap_or(assumed);
-    let (least, most) = (MIN_RETRY_DELAY.as_secs_f64(), MAX_RETRY_DELAY.as_secs_f64());
-    Duration::from_secs_f64(seconds.clamp(least, most))
+    let fill_ratio = state.calls.waiting() as f64 / state.config.max_waiting.max(1) as f64;
+    let fallback = MAX_RETRY_DELAY.as_secs_f64() * fill_ratio;
+    let seconds = estimated_wait(state, now, queue).unwrap_or(fallback);
+    let (min, max) = (MIN_RETRY_DELAY.as_secs_f64(), MAX_RETRY_DELAY.as_secs_f64());
+    Duration::from_secs_f64(seconds.clamp(min, max))
 }
 
 /// Seconds to drain a queue at the pool's current rate and the branch's share among branches with
--- a/crates/courseshed-dispatch/src/tables/engines.rs
+++ b/crates/courseshed-dispatch/src/tables/engines.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// Whether the engine is draining, according to the directory or its own report.
+    /// Whether the engine takes no new calls, according to the directory or its own report.
     pub(crate) fn is_leaving(&self) -> bool {
         let reports_leaving = |report: &LoadReport| report.load.leaving;
         self.member.state != EngineState::Live || self.report.as_ref().is_some_and(reports_leaving)
@@ -98,13 +98,13 @@
     /// Limit on this dispatcher's in-flight calls.
     pub(crate) fn call_limit(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let batch = self.batch(config);
-        let ahead = (f64::from(batch) * config.slot_overcommit).ceil() as u32;
-        let limit = (batch + ahead).saturating_sub(self.external_calls(config, now));
+        let overcommit = (f64::from(batch) * config.slot_overcommit).ceil() as u32;
+        let limit = (batch + overcommit).saturating_sub(self.external_calls(config, now));
         if self.health.is_probing {
             return limit.min(config.probe_calls);
         }
         match self.slow_start_fraction(config.slow_start, now) {
-            Some(part) => ((f64::from(limit) * part) as u32).max(1),
+            Some(fraction) => ((f64::from(limit) * fraction) as u32).max(1),
             None => limit,
         }
     }
@@ -121,9 +121,10 @@
             .by_priority
             .first_key_value()
             .is_some_and(|(least, _)| *least < priority);
-        let ahead = (f64::from(self.batch(config)) * config.urgent_slot_overcommit).ceil() as u32;
+        let overcommit =
+            (f64::from(self.batch(config)) * config.urgent_slot_overcommit).ceil() as u32;
         let is_steady = !self.health.is_probing && self.slow_start_since.is_none();
-        let limit = self.call_limit(config, now) + ahead;
+        let limit = self.call_limit(config, now) + overcommit;
         priority > 0 && is_outranked && is_steady && self.in_flight < limit
     }
 
@@ -139,8 +140,8 @@
         }
     }
 
-    /// Calls of other dispatchers on the engine, from the last report. Reports lag, so the peak of
-    /// this dispatcher's own calls over the last two reporting intervals is subtracted.
+    /// Calls on the engine that this dispatcher did not assign, from the last report. Reports lag,
+    /// so the peak of its own calls over the last two reporting intervals is subtracted.
     fn external_calls(&self, config: &DispatcherConfig, now: Timestamp) -> u32 {
         let Some(report) = &self.report else {
             return 0;
@@ -149,10 +150,10 @@
             return 0;
         }
         let reported = report.load.running + report.load.waiting;
-        let ours = self.in_flight_peaks[0]
+        let own_peak = self.in_flight_peaks[0]
             .max(self.in_flight_peaks[1])
             .max(self.in_flight);
-        reported.saturating_sub(ours)
+        reported.saturating_sub(own_peak)
     }
 
     /// KV memory size, if reported.
@@ -176,8 +177,8 @@
     /// Fraction of the call limit during slow start; `None` otherwise.
     fn slow_start_fraction(&self, slow_start: Duration, now: Timestamp) -> Option<f64> {
         let since = self.slow_start_since?;
-        let part = now.since(since).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
-        (part < 1.0).then_some(part)
+        let fraction = now.since(since).as_secs_f64() / slow_start.as_secs_f64().max(f64::EPSILON);
+        (fraction < 1.0).then_some(fraction)
     }
 
     /// Records a call assigned to the engine.
--- a/crates/courseshed-dispatch/tests/engines.rs
+++ b/crates/courseshed-dispatch/tests/engines.rs
@@ -39,13 +39,13 @@
     }
     enqueue_many(&mut driver, 10..30);
     assert!(driver.tick().is_empty(), "the engine is ejected");
-    let tried = driver.advance(Duration::from_secs(8));
+    let probed = driver.advance(Duration::from_secs(8));
     assert_eq!(
         running(&driver),
         1,
         "only one call runs until a probe succeeds"
     );
-    finish(&mut driver, tried[0].call);
+    finish(&mut driver, probed[0].call);
     driver.tick();
     assert!(
         running(&driver) < 3,
@@ -62,9 +62,9 @@
         .dispatcher
         .on_engine_unreachable(driver.now, &"e1".into());
     enqueue_many(&mut driver, 1..5);
-    let tried = driver.advance(Duration::from_millis(1_100));
-    assert_eq!(tried.len(), 1);
-    driver.failed(tried[0].call, true);
+    let probed = driver.advance(Duration::from_millis(1_100));
+    assert_eq!(probed.len(), 1);
+    driver.failed(probed[0].call, true);
     assert!(driver.advance(Duration::from_millis(1_500)).is_empty());
     assert_eq!(driver.advance(Duration::from_millis(600)).len(), 1);
 }
@@ -107,7 +107,7 @@
     Driver::with_engines(&["e1"], max_batch)
 }
 
-fn large(number: u64, prompt: u64, driver: &Driver) -> WaitingCall {
+fn call_with_prompt(number: u64, prompt: u64, driver: &Driver) -> WaitingCall {
     let mut large = call(number, 1, "/", driver.now);
     large.prompt_tokens = Tokens(prompt);
     large
@@ -118,15 +118,15 @@
     let mut driver = with_memory(64);
     let mut running = Vec::new();
     for number in 0..6 {
-        let small = large(number, 10_000, &driver);
+        let small = call_with_prompt(number, 10_000, &driver);
         running.push(small.call);
         driver.enqueue(small);
     }
     assert_eq!(driver.tick().len(), 6);
-    let wanted = large(100, 50_000, &driver);
+    let wanted = call_with_prompt(100, 50_000, &driver);
     driver.enqueue(wanted.clone());
     for round in 0..40 {
-        driver.enqueue(large(200 + round, 10_000, &driver));
+        driver.enqueue(call_with_prompt(200 + round, 10_000, &driver));
         driver.now += Duration::from_millis(300);
         if running.is_empty() {
             break;
@@ -150,17 +150,17 @@
 #[test]
 fn a_call_reclaims_memory_leased_by_a_paused_program() {
     let mut driver = with_memory(8);
-    let paused = large(1, 40_000, &driver);
+    let paused = call_with_prompt(1, 40_000, &driver);
     driver.enqueue(paused.clone());
     driver.tick();
     driver.finished(paused.call, usage(40_000, 0, 100));
     driver.tick();
-    let small = large(3, 1_000, &driver);
+    let small = call_with_prompt(3, 1_000, &driver);
     driver.enqueue(small);
     driver.tick();
     let stats = driver.dispatcher.stats(driver.now);
     assert_eq!(stats.engines[&"e1".into()].leased_tokens, 40_100);
-    let wanted = large(2, 30_000, &driver);
+    let wanted = call_with_prompt(2, 30_000, &driver);
     driver.enqueue(wanted.clone());
     let assigned = driver.tick();
     assert_eq!(assigned.len(), 1, "the lease is reclaimed immediately");
@@ -182,14 +182,14 @@
 #[test]
 fn a_lease_is_kept_if_releasing_it_would_not_help() {
     let mut driver = with_memory(8);
-    let paused = large(1, 20_000, &driver);
+    let paused = call_with_prompt(1, 20_000, &driver);
     driver.enqueue(paused.clone());
     driver.tick();
     driver.finished(paused.call, usage(20_000, 0, 100));
-    let running = large(2, 40_000, &driver);
+    let running = call_with_prompt(2, 40_000, &driver);
     driver.enqueue(running);
     driver.tick();
-    let wanted = large(3, 50_000, &driver);
+    let wanted = call_with_prompt(3, 50_000, &driver);
     driver.enqueue(wanted);
     assert!(driver.tick().is_empty());
     let stats = driver.dispatcher.stats(driver.now);
--- a/crates/courseshed-dispatch/tests/fairness.rs
+++ b/crates/courseshed-dispatch/tests/fairness.rs
@@ -60,7 +60,7 @@
     }
 
     /// Finishes a running call; `counted` returns its uncached prompt tokens.
-    fn end(&mut self, choice: usize, counted: impl Fn(&WaitingCall) -> u64) {
+    fn finish(&mut self, choice: usize, counted: impl Fn(&WaitingCall) -> u64) {
         let ended = self.running.swap_remove(choice % self.running.len());
         let uncached = counted(&ended);
         *self.ended.entry(ended.branch.to_string()).or_default() += service_of(uncached);
@@ -70,17 +70,19 @@
     }
 
     /// Service by branch: actual service of finished calls plus charges of running ones.
-    fn spent(&self) -> BTreeMap<String, f64> {
-        let mut spent = self.ended.clone();
+    fn service_by_branch(&self) -> BTreeMap<String, f64> {
+        let mut service_by_branch = self.ended.clone();
         for call in &self.running {
-            *spent.entry(call.branch.to_string()).or_default() += service_of(call.prompt_tokens.0);
+            *service_by_branch
+                .entry(call.branch.to_string())
+                .or_default() += service_of(call.prompt_tokens.0);
         }
         let of_b: f64 = ["b/x", "b/y"]
             .iter()
-            .filter_map(|leaf| spent.get(*leaf))
+            .filter_map(|leaf| service_by_branch.get(*leaf))
             .sum();
-        spent.insert("b".to_string(), of_b);
-        spent
+        service_by_branch.insert("b".to_string(), of_b);
+        service_by_branch
     }
 
     fn served(&self) -> BTreeMap<String, f64> {
@@ -107,14 +109,14 @@
 /// Checks that the normalized service of siblings differs by at most one call and the outstanding
 /// corrections.
 fn assert_siblings_within(
-    spent: &BTreeMap<String, f64>,
+    service_by_branch: &BTreeMap<String, f64>,
     siblings: &[(&str, f64)],
     largest: f64,
     corrections: f64,
 ) -> Result<(), TestCaseError> {
     for (left, left_weight) in siblings {
         for (right, right_weight) in siblings {
-            let of = |branch: &str| spent.get(branch).copied().unwrap_or(0.0);
+            let of = |branch: &str| service_by_branch.get(branch).copied().unwrap_or(0.0);
             let drift = of(left) / left_weight - of(right) / right_weight;
             let bound = (largest + corrections) * (1.0 / left_weight + 1.0 / right_weight);
             prop_assert!(
@@ -150,14 +152,14 @@
         for assigned in run.assign() {
             run.add(assigned.branch.as_str(), *prompt, |_| {});
         }
-        run.end(*choice, counted);
-        let spent = run.spent();
+        run.finish(*choice, counted);
+        let service_by_branch = run.service_by_branch();
         let largest = service_of(LARGEST_PROMPT);
         // The root's and `b`'s own queues have weight one among their siblings but stay idle.
         let siblings = [("a", shares[0]), ("b", shares[1])];
-        assert_siblings_within(&spent, &siblings, largest, corrections)?;
+        assert_siblings_within(&service_by_branch, &siblings, largest, corrections)?;
         let siblings = [("b/x", shares[2]), ("b/y", shares[3])];
-        assert_siblings_within(&spent, &siblings, largest, corrections)?;
+        assert_siblings_within(&service_by_branch, &siblings, largest, corrections)?;
     }
     Ok(())
 }
@@ -197,14 +199,14 @@
     for _ in 0..200 {
         run.add("a", 1_000, |_| {});
         run.assign();
-        run.end(0, whole_prompt);
+        run.finish(0, whole_prompt);
     }
     (0..20).for_each(|_| run.add("a", 1_000, |_| {}));
     (0..20).for_each(|_| run.add("b", 1_000, |_| {}));
     let mut first_ten = Vec::new();
     while first_ten.len() < 10 {
         first_ten.extend(run.assign().into_iter().map(|call| call.branch));
-        run.end(0, whole_prompt);
+        run.finish(0, whole_prompt);
     }
     let of_b = first_ten
         .iter()
@@ -236,7 +238,7 @@
         for assigned in run.assign() {
             run.add(assigned.branch.as_str(), 1_000, |_| {});
         }
-        run.end(0, whole_prompt);
+        run.finish(0, whole_prompt);
     }
     let served = run.served();
     let part = served["small"] / served["/"];
@@ -251,7 +253,7 @@
     (0..4).for_each(|_| run.add("urgent", 1_000, |call| call.priority = 3));
     let mut order = Vec::new();
     for _ in 0..2_000 {
-        run.end(0, whole_prompt);
+        run.finish(0, whole_prompt);
         for assigned in run.assign() {
             order.push(assigned.branch.clone());
             let priority = assigned.priority;
@@ -288,7 +290,7 @@
     while run.waiting.contains_key(&long) {
         run.driver.now += Duration::from_millis(500);
         run.add("a", 500, |_| {});
-        run.end(0, whole_prompt);
+        run.finish(0, whole_prompt);
         run.assign();
         waited += 1;
         assert!(waited < 100, "the call was overtaken for 50 s");
@@ -303,7 +305,7 @@
         for _ in 0..calls {
             run.add(path, 100_000, |_| {});
             run.assign();
-            run.end(0, whole_prompt);
+            run.finish(0, whole_prompt);
         }
     };
     serve_only(&mut run, "a", 2_000);
