--- a/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/decision/tests.rs
@@ -36,7 +36,10 @@
     #![proptest_config(ProptestConfig::with_cases(2_000))]
 
     #[test]
-    fn a_higher_memory_price_never_causes_a_hold(estimates in pause_estimates(), factor in 1.0..10.0f64) {
+    fn a_higher_memory_price_never_causes_a_hold(
+        estimates in pause_estimates(),
+        factor in 1.0..10.0f64,
+    ) {
         let mut more_expensive = estimates;
         more_expensive.memory_price *= factor;
         if decide(&estimates) != PauseDecision::Hold {
@@ -45,7 +48,10 @@
     }
 
     #[test]
-    fn a_higher_resume_rate_never_causes_a_release(estimates in pause_estimates(), factor in 1.0..10.0f64) {
+    fn a_higher_resume_rate_never_causes_a_release(
+        estimates in pause_estimates(),
+        factor in 1.0..10.0f64,
+    ) {
         let mut higher_rate = estimates;
         higher_rate.resume_rate *= factor;
         if decide(&estimates) == PauseDecision::Hold {
@@ -56,7 +62,9 @@
     #[test]
     fn an_export_saves_more_than_it_costs(estimates in pause_estimates()) {
         if decide(&estimates) == PauseDecision::Export {
-            let saved = estimates.resume_probability * estimates.eviction_probability * (1.0 - estimates.transfer_cost);
+            let saved = estimates.resume_probability
+                * estimates.eviction_probability
+                * (1.0 - estimates.transfer_cost);
             prop_assert!(saved > estimates.transfer_cost);
             prop_assert_eq!(estimates.copy, CopyState::Possible);
         }
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -45,8 +45,8 @@
 
 /// Restarts the timer after which an idle program is dropped.
 pub(crate) fn restart_idle_timer(state: &mut State, now: Timestamp, program: ProgramId) {
-    let forget_at = now + state.config.program_idle_timeout;
-    state.timers.set(forget_at, Timer::ProgramIdle(program));
+    let expires_at = now + state.config.program_idle_timeout;
+    state.timers.set(expires_at, Timer::ProgramIdle(program));
 }
 
 /// Drops a program that has been idle too long, unless one of its calls is known.
--- a/crates/courseshed-dispatch/src/systems/shedding.rs
+++ b/crates/courseshed-dispatch/src/systems/shedding.rs
@@ -32,7 +32,7 @@
         while let Some(call) = unservable_call(state, now, queue) {
             let error = CallError::not_run(
                 ErrorCode::Overloaded,
-                "the branch's queue is too long for its share of the pool to serve the call before its queue deadline",
+                "the branch's queue is too long to serve the call before its queue deadline",
             );
             let wait = expected_wait(state, now, queue);
             state.counters.shed_unservable += 1;
--- a/crates/courseshed-dispatch/tests/common/mod.rs
+++ b/crates/courseshed-dispatch/tests/common/mod.rs
@@ -144,7 +144,7 @@
         }
     }
 
-    /// A driver whose engines have reported batch size `max_batch`, with `slot_overcommit` disabled.
+    /// A driver whose engines have reported batch size `max_batch`, without slot overcommit.
     pub fn with_engines(engines: &[&str], max_batch: u32) -> Driver {
         let config = DispatcherConfig {
             slot_overcommit: 0.0,
--- a/crates/courseshed-dispatch/tests/placement.rs
+++ b/crates/courseshed-dispatch/tests/placement.rs
@@ -162,9 +162,10 @@
         for _ in 0..20 {
             let moves = plan(&settings, &fleet);
             execute(&mut fleet, &moves);
-            let recent = fleet.recent_moves.iter().filter(|past| fleet.now.since(past.at) < settings.period);
-            let (count, bytes) = recent.fold((0, 0), |(count, bytes), past| {
-                (count + 1, bytes + past.bytes)
+            let is_in_period = |made: &&RecentMove| fleet.now.since(made.at) < settings.period;
+            let recent = fleet.recent_moves.iter().filter(is_in_period);
+            let (count, bytes) = recent.fold((0, 0), |(count, bytes), made| {
+                (count + 1, bytes + made.bytes)
             });
             prop_assert!(count <= settings.moves_per_period);
             prop_assert!(bytes <= settings.bytes_per_period);
@@ -187,7 +188,9 @@
         };
         let demands = fleet.demand.iter();
         let calm: Vec<ModelName> = demands
-            .filter(|(model, demand)| demand.service * 1.2 < settings.scale_up_utilization * service(model))
+            .filter(|(model, demand)| {
+                demand.service * 1.2 < settings.scale_up_utilization * service(model)
+            })
             .map(|(model, _)| model.clone())
             .collect();
         for (number, demand) in fleet.demand.values_mut().enumerate() {
