--- a/crates/courseshed-dispatch/src/systems/requests.rs
+++ b/crates/courseshed-dispatch/src/systems/requests.rs
@@ -121,8 +121,8 @@
     let Some(entry) = end_attempt(state, &request) else {
         return;
     };
-    let counted = counted_service(state, &usage);
-    settle(state, &entry, Some(counted));
+    let reported = reported_service(state, &usage);
+    settle(state, &entry, Some(reported));
     state
         .workload
         .record_output(entry.branch(), usage.completion_tokens);
@@ -133,7 +133,7 @@
         return;
     };
     engine_health::record_success(state, now, &engine);
-    cache_view::filled(state, request.call.program, &engine, &usage);
+    cache_view::record_filled(state, request.call.program, &engine, &usage);
     let turns = entry.call.turn + 1;
     if let Some(program) = state.programs.get_mut(&request.call.program) {
         program.turns = turns;
@@ -142,7 +142,7 @@
     pauses::begin(state, now, request.call.program);
 }
 
-fn counted_service(state: &State, usage: &Usage) -> Service {
+fn reported_service(state: &State, usage: &Usage) -> Service {
     let cached = match state.strategy.charging {
         Charging::Service => usage.cached_tokens,
         Charging::VirtualTokens => Tokens::ZERO,
@@ -165,7 +165,7 @@
 }
 
 fn program_ended(state: &mut State, program: ProgramId) {
-    if let Some(entry) = pauses::end(state, program) {
+    if let Some(entry) = pauses::end_program(state, program) {
         state.workload.record_turns(&entry.branch, entry.turns);
     }
 }
@@ -264,18 +264,18 @@
     queueing::remove(state, request.call)
 }
 
-/// Releases the call's capacity on its engine and replaces the estimated charge by `counted`.
-fn settle(state: &mut State, entry: &CallEntry, counted: Option<Service>) {
+/// Releases the call's capacity on its engine and replaces the estimated charge by `reported`.
+fn settle(state: &mut State, entry: &CallEntry, reported: Option<Service>) {
     let Some(assignment) = entry.assignment() else {
         return;
     };
     if let Some(engine) = state.engines.get_mut(&assignment.engine) {
         engine.remove_call(assignment.memory, assignment.priority);
     }
-    if let Some(counted) = counted {
+    if let Some(reported) = reported {
         let warp = state.config.warp_per_priority;
         let charged = assignment.charged;
-        fairness::correct(&mut state.branches, entry.queue, charged, counted, warp);
+        fairness::correct(&mut state.branches, entry.queue, charged, reported, warp);
     }
 }
 
@@ -284,7 +284,7 @@
     let program = call.call.program;
     let entry = state.programs.get_or_insert(program, &call.branch, shard);
     entry.shard = shard;
-    pauses::remember(state, now, program);
+    pauses::restart_idle_timer(state, now, program);
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
     };
--- a/crates/courseshed-dispatch/tests/engines.rs
+++ b/crates/courseshed-dispatch/tests/engines.rs
@@ -30,7 +30,7 @@
 }
 
 #[test]
-fn an_engine_that_was_ejected_is_tried_with_one_call_until_it_ends_well() {
+fn an_ejected_engine_is_probed_with_one_call_until_it_succeeds() {
     let mut driver = Driver::with_engines(&["e1"], 10);
     let calls = enqueue_many(&mut driver, 1..4);
     driver.tick();
@@ -39,34 +39,34 @@
     }
     enqueue_many(&mut driver, 10..30);
     assert!(driver.tick().is_empty(), "the engine is ejected");
-    let tried = driver.pass(Duration::from_secs(8));
+    let probed = driver.advance(Duration::from_secs(8));
     assert_eq!(
         running(&driver),
         1,
         "only one call runs until a probe succeeds"
     );
-    finish(&mut driver, tried[0].call);
+    finish(&mut driver, probed[0].call);
     driver.tick();
     assert!(
         running(&driver) < 3,
         "slow start begins after the probe succeeds"
     );
-    driver.pass(Duration::from_secs(6));
+    driver.advance(Duration::from_secs(6));
     assert_eq!(running(&driver), 10);
 }
 
 #[test]
-fn an_engine_that_fails_its_trial_is_ejected_for_longer() {
+fn an_engine_that_fails_its_probe_is_ejected_for_longer() {
     let mut driver = Driver::with_engines(&["e1"], 10);
     driver
         .dispatcher
         .on_engine_unreachable(driver.now, &"e1".into());
     enqueue_many(&mut driver, 1..5);
-    let tried = driver.pass(Duration::from_millis(1_100));
-    assert_eq!(tried.len(), 1);
-    driver.failed(tried[0].call, true);
-    assert!(driver.pass(Duration::from_millis(1_500)).is_empty());
-    assert_eq!(driver.pass(Duration::from_millis(600)).len(), 1);
+    let probed = driver.advance(Duration::from_millis(1_100));
+    assert_eq!(probed.len(), 1);
+    driver.failed(probed[0].call, true);
+    assert!(driver.advance(Duration::from_millis(1_500)).is_empty());
+    assert_eq!(driver.advance(Duration::from_millis(600)).len(), 1);
 }
 
 #[test]
@@ -107,26 +107,26 @@
     Driver::with_engines(&["e1"], max_batch)
 }
 
-fn large(number: u64, prompt: u64, driver: &Driver) -> WaitingCall {
+fn call_with_prompt(number: u64, prompt: u64, driver: &Driver) -> WaitingCall {
     let mut large = call(number, 1, "/", driver.now);
     large.prompt_tokens = Tokens(prompt);
     large
 }
 
 #[test]
-fn a_large_call_is_not_passed_by_smaller_ones_for_ever() {
+fn a_large_call_is_not_bypassed_indefinitely() {
     let mut driver = with_memory(64);
     let mut running = Vec::new();
     for number in 0..6 {
-        let small = large(number, 10_000, &driver);
+        let small = call_with_prompt(number, 10_000, &driver);
         running.push(small.call);
         driver.enqueue(small);
     }
     assert_eq!(driver.tick().len(), 6);
-    let wanted = large(100, 50_000, &driver);
+    let wanted = call_with_prompt(100, 50_000, &driver);
     driver.enqueue(wanted.clone());
     for round in 0..40 {
-        driver.enqueue(large(200 + round, 10_000, &driver));
+        driver.enqueue(call_with_prompt(200 + round, 10_000, &driver));
         driver.now += Duration::from_millis(300);
         if running.is_empty() {
             break;
@@ -148,19 +148,19 @@
 }
 
 #[test]
-fn a_call_that_needs_the_memory_takes_it_from_a_paused_program() {
+fn a_call_reclaims_memory_leased_by_a_paused_program() {
     let mut driver = with_memory(8);
-    let paused = large(1, 40_000, &driver);
+    let paused = call_with_prompt(1, 40_000, &driver);
     driver.enqueue(paused.clone());
     driver.tick();
     driver.finished(paused.call, usage(40_000, 0, 100));
     driver.tick();
-    let small = large(3, 1_000, &driver);
+    let small = call_with_prompt(3, 1_000, &driver);
     driver.enqueue(small);
     driver.tick();
     let stats = driver.dispatcher.stats(driver.now);
     assert_eq!(stats.engines[&"e1".into()].leased_tokens, 40_100);
-    let wanted = large(2, 30_000, &driver);
+    let wanted = call_with_prompt(2, 30_000, &driver);
     driver.enqueue(wanted.clone());
     let assigned = driver.tick();
     assert_eq!(assigned.len(), 1, "the lease is reclaimed immediately");
@@ -180,16 +180,16 @@
 }
 
 #[test]
-fn a_lease_stays_where_giving_it_up_would_not_help() {
+fn a_lease_is_kept_if_releasing_it_would_not_help() {
     let mut driver = with_memory(8);
-    let paused = large(1, 20_000, &driver);
+    let paused = call_with_prompt(1, 20_000, &driver);
     driver.enqueue(paused.clone());
     driver.tick();
     driver.finished(paused.call, usage(20_000, 0, 100));
-    let running = large(2, 40_000, &driver);
+    let running = call_with_prompt(2, 40_000, &driver);
     driver.enqueue(running);
     driver.tick();
-    let wanted = large(3, 50_000, &driver);
+    let wanted = call_with_prompt(3, 50_000, &driver);
     driver.enqueue(wanted);
     assert!(driver.tick().is_empty());
     let stats = driver.dispatcher.stats(driver.now);
