--- a/crates/courseshed-quota/src/holder.rs
+++ b/crates/courseshed-quota/src/holder.rs
@@ -88,7 +88,7 @@
     started_at: Duration,
     sequence: u64,
     epoch: Option<u64>,
-    is_full_report_due: bool,
+    is_complete_report_due: bool,
     lease_expires_at: Duration,
     in_flight: Option<ReportInFlight>,
     tenants: BTreeMap<String, TenantPermits>,
@@ -110,7 +110,7 @@
             started_at: now,
             sequence: 0,
             epoch: None,
-            is_full_report_due: true,
+            is_complete_report_due: true,
             lease_expires_at: Duration::ZERO,
             in_flight: None,
             tenants: BTreeMap::new(),
@@ -230,7 +230,7 @@
             return None;
         }
         let is_leased = self.is_leased(now);
-        let is_whole = self.is_full_report_due || !is_leased;
+        let is_complete = self.is_complete_report_due || !is_leased;
         let occupancy = self.terms.occupancy();
         self.tenants.retain(|_, entry| {
             entry.expire_sends(now, occupancy);
@@ -242,7 +242,7 @@
         let mut uses = Vec::new();
         for (tenant, entry) in &mut self.tenants {
             let state = (entry.permits, entry.used());
-            if !is_whole && entry.waiting == 0 && entry.reported == Some(state) {
+            if !is_complete && entry.waiting == 0 && entry.reported == Some(state) {
                 continue;
             }
             entry.reported = Some(state);
@@ -260,10 +260,10 @@
         });
         Some(QuotaReport {
             incarnation: self.incarnation,
-            life_ms: now.saturating_sub(self.started_at).as_millis() as u64,
+            uptime_ms: now.saturating_sub(self.started_at).as_millis() as u64,
             sequence: self.sequence,
             epoch: self.epoch,
-            is_whole,
+            is_complete,
             uses,
         })
     }
@@ -275,12 +275,12 @@
         };
         self.in_flight = None;
         match answer {
-            QuotaAnswer::ReportAll { epoch } => {
+            QuotaAnswer::CompleteReportRequired { epoch } => {
                 self.epoch = Some(epoch);
-                self.is_full_report_due = true;
+                self.is_complete_report_due = true;
             }
             QuotaAnswer::Granted { grants } => {
-                self.is_full_report_due = false;
+                self.is_complete_report_due = false;
                 self.lease_expires_at = in_flight.sent_at + LEASE;
                 for grant in grants {
                     self.apply_grant(grant, in_flight.sent_at);
@@ -305,7 +305,7 @@
             .is_some_and(|report| report.sequence == sequence)
         {
             self.in_flight = None;
-            self.is_full_report_due = true;
+            self.is_complete_report_due = true;
         }
     }
 }
--- a/crates/courseshed-quota/src/message.rs
+++ b/crates/courseshed-quota/src/message.rs
@@ -22,13 +22,15 @@
     /// Incarnation of the gateway's process; higher after each restart.
     pub incarnation: u64,
     /// Uptime of the process, in milliseconds.
-    pub life_ms: u64,
+    #[serde(rename = "life_ms")]
+    pub uptime_ms: u64,
     /// Sequence number of the report within the incarnation.
     pub sequence: u64,
     /// Epoch of the owner that has the gateway's complete state, as far as the gateway knows.
     pub epoch: Option<u64>,
     /// Whether the report is complete: unlisted tenants have no permits at the gateway.
-    pub is_whole: bool,
+    #[serde(rename = "is_whole")]
+    pub is_complete: bool,
     /// Tenants whose use changed, or all tenants if the report is complete.
     pub uses: Vec<TenantUse>,
 }
@@ -55,7 +57,8 @@
         grants: Vec<TenantGrant>,
     },
     /// The owner lacks the gateway's complete state; the next report must be complete.
-    ReportAll {
+    #[serde(rename = "ReportAll")]
+    CompleteReportRequired {
         /// Epoch of the owner.
         epoch: u64,
     },
--- a/crates/courseshed-quota/src/owner.rs
+++ b/crates/courseshed-quota/src/owner.rs
@@ -223,17 +223,17 @@
         };
         ledger.last_report_at = now;
         let is_new_owner = report.epoch != Some(self.epoch) || !ledger.has_reported_all;
-        if is_new_owner && !report.is_whole {
-            let answer = QuotaAnswer::ReportAll { epoch: self.epoch };
+        if is_new_owner && !report.is_complete {
+            let answer = QuotaAnswer::CompleteReportRequired { epoch: self.epoch };
             return (Some(answer), OwnerBounds::default());
         }
         ledger.has_reported_all = true;
         let is_first = self.adopted.insert(gateway);
-        if report.is_whole {
+        if report.is_complete {
             self.release_unlisted(gateway, &report);
         }
         if is_first {
-            self.record_uptime(now, gateway, report.life_ms);
+            self.record_uptime(now, gateway, report.uptime_ms);
         }
         let mut grants = Vec::new();
         let mut bounds = OwnerBounds::default();
@@ -248,7 +248,7 @@
         }
         if report.epoch != Some(self.epoch) {
             // The gateway learns this owner's epoch first, and confirms it in its next report.
-            let answer = QuotaAnswer::ReportAll { epoch: self.epoch };
+            let answer = QuotaAnswer::CompleteReportRequired { epoch: self.epoch };
             return (Some(answer), bounds);
         }
         (Some(QuotaAnswer::Granted { grants }), bounds)
--- a/crates/courseshed-routing/src/tenant.rs
+++ b/crates/courseshed-routing/src/tenant.rs
@@ -23,7 +23,7 @@
 
     /// Compares two digests in constant time.
     #[must_use]
-    pub fn is_same(&self, other: &Self) -> bool {
+    pub fn eq_constant_time(&self, other: &Self) -> bool {
         self.0.ct_eq(&other.0).into()
     }
 }
@@ -62,7 +62,7 @@
         let mut found = None;
         for tenant in self.tenants.iter().flatten() {
             for held in &tenant.keys {
-                if held.is_same(key) {
+                if held.eq_constant_time(key) {
                     found = Some(tenant);
                 }
             }
