--- a/crates/courseshed-pool/tests/invariants.rs
+++ b/crates/courseshed-pool/tests/invariants.rs
@@ -87,8 +87,8 @@
     }
 
     fn pick(&mut self, tickets: Vec<Ticket>) -> Option<Ticket> {
-        let place = self.random_below(tickets.len().max(1) as u64) as usize;
-        tickets.get(place).copied()
+        let index = self.random_below(tickets.len().max(1) as u64) as usize;
+        tickets.get(index).copied()
     }
 
     fn is_silent(&self, gateway: NodeId) -> bool {
@@ -104,10 +104,10 @@
     /// Replaces the engine list: engines are added, removed, not ready, or have other slots.
     fn change_engines(&mut self) {
         self.engines.clear();
-        for place in 0..6 {
+        for index in 0..6 {
             if self.random_below(5) > 0 {
                 let engine = EngineListing {
-                    key: ServerKey(place + 6 * self.restarts[place as usize]),
+                    key: ServerKey(index + 6 * self.restarts[index as usize]),
                     zone: NameKey(self.random_below(2)),
                     slots: self.random_below(5) as u32,
                     memory_tokens: (self.random_below(3) > 0).then_some(50_000),
@@ -115,15 +115,15 @@
                 };
                 self.engines.push(engine);
             } else if !self.keeps_calls {
-                self.restarts[place as usize] += 1;
+                self.restarts[index as usize] += 1;
             }
         }
         self.scheduler.set_engines(self.clock(), &self.engines);
     }
 
     fn random_engine(&mut self) -> ServerKey {
-        let place = self.random_below(6) as usize;
-        ServerKey(place as u32 + 6 * self.restarts[place])
+        let index = self.random_below(6) as usize;
+        ServerKey(index as u32 + 6 * self.restarts[index])
     }
 
     fn demand(&mut self) -> CallDemand {
--- a/crates/courseshed-pool/tests/returning.rs
+++ b/crates/courseshed-pool/tests/scheduler_replacement.rs
@@ -12,7 +12,7 @@
     let mut highest = 0;
     while simulation.now < end_ms {
         simulation.run_until(simulation.now + 10);
-        let calls = (0..simulation.engines.len()).map(|place| simulation.calls_at(place));
+        let calls = (0..simulation.engines.len()).map(|index| simulation.calls_at(index));
         highest = highest.max(calls.max().unwrap_or(0));
     }
     highest
--- a/crates/courseshed-pool/tests/uneven.rs
+++ b/crates/courseshed-pool/tests/uneven_engines.rs
@@ -9,7 +9,7 @@
 /// Guards against late or failed programs of either rank.
 #[parameterized(seed_1 = { 1 }, seed_2 = { 2 }, seed_3 = { 3 })]
 fn nearly_all_programs_end_on_time_on_uneven_engines(seed: u64) {
-    let slowdown = |place: u32| if place.is_multiple_of(4) { 0.5 } else { 1.0 };
+    let slowdown = |index: u32| if index.is_multiple_of(4) { 0.5 } else { 1.0 };
     let mut simulation = Simulation::new(seed, engines(44, slowdown));
     simulation.load(tight(), 0.5, 0..20_000);
     simulation.load(loose(), 0.25, 0..20_000);
--- a/crates/courseshed-quota/src/holder.rs
+++ b/crates/courseshed-quota/src/holder.rs
@@ -170,9 +170,9 @@
     /// Releases the permit of a call that its server did not run.
     pub fn not_run(&mut self, tenant: &str, sent_at: Duration) {
         if let Some(entry) = self.tenants.get_mut(tenant)
-            && let Some(place) = entry.sent.iter().position(|sent| *sent == sent_at)
+            && let Some(index) = entry.sent.iter().position(|sent| *sent == sent_at)
         {
-            entry.sent.remove(place);
+            entry.sent.remove(index);
         }
     }
 
