--- a/crates/courseshed-edge/src/gateway/call.rs
+++ b/crates/courseshed-edge/src/gateway/call.rs
@@ -1,4 +1,4 @@
-//! A caller's request as the gateway sees it, and the codec that knows the words of the wire.
+//! The gateway's view of a client request, and the codec that maps it to and from HTTP headers.
 
 use std::time::Duration;
 
@@ -9,104 +9,104 @@
 use courseshed_types::PromptPart;
 use snafu::Snafu;
 
-/// What a request says of the program it belongs to.
+/// The program that a request declares itself part of.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ProgramClaim {
-    /// The program.
+    /// The program ID.
     pub program: String,
-    /// Tokens that the program's turns together may generate; none if it isn't bounded.
+    /// Total tokens that the turns of the program may generate; `None` if unlimited.
     pub token_budget: Option<u64>,
-    /// Time until the program should be over.
+    /// Time remaining until the program should finish.
     pub time_left: Option<Duration>,
 }
 
-/// What a caller shows to be let in.
+/// The credential presented by a client.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Credential {
-    /// Nothing.
+    /// No credential.
     Missing,
-    /// Something that is no key, or more than one.
+    /// Malformed, or more than one.
     Unusable,
-    /// A key.
+    /// The digest of an API key.
     Key(KeyDigest),
 }
 
-/// A caller's request, read.
+/// A decoded client request.
 #[derive(Clone, Debug)]
 pub struct CallEnvelope {
-    /// Names this request; never used twice.
+    /// Unique request ID.
     pub request_id: String,
-    /// Method, as sent.
+    /// HTTP method, as received.
     pub method: String,
-    /// Path and query, as sent.
+    /// Path and query, as received.
     pub target: String,
-    /// Path alone.
+    /// The path without the query.
     pub path: String,
-    /// Host, as sent.
+    /// The `Host` header, as received.
     pub host: String,
-    /// Headers that concern more than one connection, as sent.
+    /// End-to-end headers, as received.
     pub headers: HeaderMap,
-    /// The key that the caller shows.
+    /// The credential presented by the client.
     pub credential: Credential,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
-    /// How long the caller will wait.
+    /// The client's timeout.
     pub time_left: Option<Duration>,
-    /// The last event that the caller has of this stream.
+    /// ID of the last event of this stream that the client has received.
     pub last_event: Option<u64>,
-    /// The program it belongs to.
+    /// The program that the request belongs to.
     pub program: Option<ProgramClaim>,
-    /// The most tokens that it may generate.
+    /// Maximum number of tokens to generate.
     pub most_tokens: Option<u32>,
-    /// What a server that saw the same thing lately is found by.
+    /// Key for routing related requests to the same server.
     pub affinity_key: Option<String>,
-    /// The parts of the prompt, in order; empty if it has none.
+    /// The segments of the prompt, in order; empty if there is no prompt.
     pub prompt: Vec<PromptPart>,
-    /// The kept turn that it goes on from.
+    /// ID of the stored turn that this request continues.
     pub previous_turn: Option<String>,
 }
 
-/// What is said to a server beside the caller's own words.
+/// Values that the gateway adds to a request that it forwards to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SendTerms {
-    /// How long the server may take.
+    /// Time remaining for the server to respond.
     pub time_left: Option<Duration>,
-    /// The only life of a server that may run it.
+    /// The only server instance that may execute the request.
     pub server: String,
-    /// The last event that the caller has; the stream goes on behind it.
+    /// ID of the last event that the client has; the stream resumes after it.
     pub resume_after: Option<u64>,
-    /// The tenant whose key the caller showed; none where calls need no key.
+    /// The authenticated tenant; `None` if the fleet requires no keys.
     pub tenant: Option<String>,
-    /// Whether the caller's key is kept from the server.
+    /// Whether the client's key is removed before forwarding.
     pub hides_key: bool,
 }
 
-/// What a server's answer says of itself.
+/// Metadata in a server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AnswerMarks {
-    /// The request that it answers.
+    /// ID of the request that is answered.
     pub request_id: Option<String>,
-    /// Whether the server says that the request did not run.
+    /// Whether the server states that it did not execute the request.
     pub is_not_run: bool,
 }
 
-/// A request that can't be read.
+/// A request that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
 pub struct UnreadableCall {
-    /// What is wrong, for the caller.
+    /// The cause, in terms that the client understands.
     pub reason: String,
 }
 
-/// The words of callers and servers on the wire. It translates and decides nothing.
+/// Encodes and decodes the wire format of clients and servers. Pure translation, no decisions.
 pub trait CallCodec: 'static {
-    /// Reads the head of a caller's request; the body comes later.
+    /// Decodes the head of a client request; the body is read separately.
     ///
     /// # Errors
-    /// [`UnreadableCall`] when a header that must be readable isn't.
+    /// [`UnreadableCall`] if a mandatory header is malformed.
     fn read_call(&self, head: &RequestHead) -> Result<CallEnvelope, UnreadableCall>;
 
-    /// Writes the head of the request to a server, with the empty line that ends it.
+    /// Encodes the request head for a server, including the terminating empty line.
     fn write_head(
         &self,
         call: &CallEnvelope,
@@ -115,6 +115,6 @@
         out: &mut BytesMut,
     );
 
-    /// Reads the marks of a server's answer.
+    /// Decodes the metadata of a server's response.
     fn read_answer(&self, head: &ResponseHead) -> AnswerMarks;
 }
--- a/crates/courseshed-edge/src/gateway/events.rs
+++ b/crates/courseshed-edge/src/gateway/events.rs
@@ -1,57 +1,57 @@
-//! Splitting a stream of bytes into events. Pure.
+//! Splits a byte stream into server-sent events. No I/O.
 
 use bytes::{Bytes, BytesMut};
 
-/// One whole event, with its bytes as they came.
+/// A complete event, with its original bytes.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Event {
-    /// All its bytes, with the empty line that ends it.
+    /// All bytes, including the terminating empty line.
     pub bytes: Bytes,
-    /// Its id.
+    /// The event ID.
     pub id: Option<u64>,
-    /// Its data lines, joined by line feeds; none if it has none.
+    /// The data lines, joined by line feeds; `None` if there are none.
     pub data: Option<Vec<u8>>,
 }
 
-/// Takes bytes in, and gives whole events out.
+/// Incremental parser that turns chunks of bytes into events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
     buffer: BytesMut,
 }
 
 impl EventSplitter {
-    /// Takes bytes in.
+    /// Appends a chunk of the stream.
     pub fn push(&mut self, bytes: &[u8]) {
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// The next whole event.
+    /// Takes the next complete event.
     pub fn next_event(&mut self) -> Option<Event> {
         let end = end_of_event(&self.buffer)?;
         let bytes = self.buffer.split_to(end).freeze();
         Some(read_event(bytes))
     }
 
-    /// Bytes of memory that are held, of which what is left of an event is a part.
+    /// Capacity of the internal buffer, in bytes.
     #[must_use]
     pub fn held(&self) -> usize {
         self.buffer.capacity()
     }
 
-    /// Bytes of an event that isn't whole yet.
+    /// Bytes of the incomplete event at the end of the buffer.
     #[must_use]
     pub fn partial(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Whether the bytes end with part of an event.
+    /// Whether the buffer ends with an incomplete event.
     #[must_use]
     pub fn has_partial(&self) -> bool {
         !self.buffer.is_empty()
     }
 }
 
-/// The length of the first event with the empty line that ends it.
+/// Length of the first event, including the terminating empty line.
 fn end_of_event(bytes: &[u8]) -> Option<usize> {
     let mut line_start = 0;
     for (index, byte) in bytes.iter().enumerate() {
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -1,4 +1,5 @@
-//! The gateway: takes callers' requests and passes them on, unchanged, to a server of their service.
+//! The gateway: accepts client requests and proxies them, unmodified, to a server of the requested
+//! service.
 
 mod access;
 mod answer_times;
--- a/crates/courseshed-edge/src/gateway/short_codec.rs
+++ b/crates/courseshed-edge/src/gateway/short_codec.rs
@@ -1,4 +1,4 @@
-//! A codec with short headers of its own, for fleets without a platform: tests and the fault soak.
+//! A codec with short headers, for tests and the fault soak, which run without the platform.
 
 use std::time::Duration;
 
@@ -12,10 +12,10 @@
     AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
 };
 
-/// The codec. Headers: `x-call` names a request, `x-program`, `x-budget` and `x-most` its program and
-/// tokens, `x-time` the milliseconds that the caller waits, `x-last` an event, `x-key` an affinity key,
-/// `x-prompt` parts of the prompt, `x-previous` the turn before, `x-auth` the caller's key; servers are
-/// told `x-tenant`, and answer `x-not-run`.
+/// The codec. Request headers: `x-call` (request ID), `x-program`, `x-budget` (token budget),
+/// `x-most` (maximum tokens), `x-time` (timeout in ms), `x-last` (last event ID), `x-key` (affinity
+/// key), `x-prompt` (prompt segments), `x-previous` (previous turn) and `x-auth` (API key). Servers
+/// receive `x-tenant` and respond with `x-not-run` if they did not execute the request.
 #[derive(Clone, Copy, Debug)]
 pub struct ShortCodec;
 
@@ -87,7 +87,7 @@
     }
 }
 
-/// Parts of the prompt as ID:TOKENS, split by commas.
+/// Parses prompt segments, as comma-separated `ID:TOKENS` pairs.
 fn prompt(headers: &HeaderMap) -> Vec<PromptPart> {
     let parts = text(headers, "x-prompt").unwrap_or_default();
     let part = |part: &str| {
