--- a/crates/courseshed-edge/src/gateway/held.rs
+++ b/crates/courseshed-edge/src/gateway/held.rs
@@ -1,5 +1,5 @@
-//! What the gateway's connections report to the account of held memory, and cutting callers off as
-//! the account decides.
+//! Tracks the memory of client connections and disconnects the clients that the memory budget
+//! selects.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -20,14 +20,15 @@
 use crate::metrics::{CutLabels, Metrics};
 use crate::watched::Connection;
 
-/// How often connections are looked at: a small part of any pause that counts.
+/// How often connections are polled; short compared with the stall limits.
 const LOOK_INTERVAL: Duration = Duration::from_millis(200);
-/// How much larger than its content a buffer of the library is at most: it doubles as it grows.
+/// Upper bound of buffer capacity relative to content: the HTTP library doubles buffers as they
+/// grow.
 const BUFFER_GROWTH: usize = 2;
-/// Memory set aside for a body before its first byte, in bytes. It grows with what arrives.
+/// Initial capacity of a request body buffer, in bytes; it grows with the received data.
 const FIRST_BODY_BYTES: usize = 16 * 1024;
 
-/// The account of a gateway, and the connections in it.
+/// The memory budget of a gateway and the connections charged to it.
 pub(super) struct Ledger {
     memory: RefCell<HeldMemory>,
     watched: RefCell<HashMap<*const Connection, Watch>>,
@@ -36,11 +37,11 @@
     metrics: Arc<Metrics>,
 }
 
-/// One connection in the account.
+/// A connection charged to the budget.
 struct Watch {
     id: HeldId,
     connection: Rc<Connection>,
-    /// The last request on it.
+    /// ID of the latest request on the connection.
     request: String,
 }
 
@@ -57,7 +58,7 @@
         })
     }
 
-    /// Begins a request on a connection.
+    /// Starts tracking a request on a connection.
     pub(super) fn begin(self: &Rc<Self>, connection: Rc<Connection>, request: &str) -> Holding {
         let mut watched = self.watched.borrow_mut();
         let watch = watched
@@ -74,7 +75,8 @@
         }
     }
 
-    /// Takes in what each connection holds back, and cuts off whom the account names.
+    /// Updates the unsent bytes of every connection and disconnects the clients that the budget
+    /// selects.
     fn look(&self) {
         let now = self.clock.now();
         let mut memory = self.memory.borrow_mut();
@@ -106,12 +108,12 @@
             .callers_cut_off
             .get_or_create(&CutLabels { reason })
             .inc();
-        log::info!(event = "caller_cut_off", request = watch.request.as_str(), reason, held_bytes = cut.held_bytes, unread_ms = cut.unread_for.as_millis() as u64; "a caller that doesn't read was cut off");
+        log::info!(event = "caller_cut_off", request = watch.request.as_str(), reason, held_bytes = cut.held_bytes, unread_ms = cut.unread_for.as_millis() as u64; "disconnected a client that does not read its response");
         watch.connection.cut();
     }
 }
 
-/// Looks at the connections until the process ends.
+/// Polls the connections until the process exits.
 pub(super) async fn watch_callers(ledger: Rc<Ledger>) {
     loop {
         sleep(LOOK_INTERVAL).await;
@@ -119,29 +121,29 @@
     }
 }
 
-/// What is held for one request. Nothing is, once it is dropped.
+/// Memory held for one request; released on drop.
 pub(super) struct Holding {
     ledger: Rc<Ledger>,
     id: HeldId,
 }
 
 impl Holding {
-    /// Notes how many bytes of a kind are held now.
+    /// Sets the number of bytes held in buffers of a kind.
     pub(super) fn set(&self, kind: HeldKind, bytes: usize) {
         let mut memory = self.ledger.memory.borrow_mut();
         memory.set(self.id, kind, bytes);
         self.ledger.metrics.set_held(memory.total());
     }
 
-    /// Whether answers may be read ahead of their callers.
+    /// Whether responses may be read ahead of the client.
     pub(super) fn has_room(&self) -> bool {
         self.ledger.memory.borrow().has_room()
     }
 
-    /// Whether so many more bytes of request bodies may be held.
+    /// Checks that the budget admits more bytes of request bodies.
     ///
     /// # Errors
-    /// [`Refusal::NoMemory`], counted.
+    /// [`Refusal::NoMemory`], which is also counted in the metrics.
     pub(super) fn check_room(&self, bytes: usize) -> Result<(), Refusal> {
         if self.ledger.memory.borrow().admits(bytes) {
             return Ok(());
@@ -150,7 +152,8 @@
         Err(Refusal::NoMemory)
     }
 
-    /// Reads the body of a request. Nothing is read of one whose length says that it has no room.
+    /// Reads a request body, or rejects it unread if its content length exceeds the limit or the
+    /// budget.
     pub(super) async fn read_body(
         &self,
         request: &mut Request,
@@ -163,7 +166,7 @@
         self.check_room(announced)?;
         let mut payload = request.take_payload();
         let mut body = BytesMut::with_capacity(announced.min(FIRST_BODY_BYTES));
-        // A caller that sends nothing for as long as one may read nothing has left.
+        // A client that sends nothing for the stall limit is considered gone.
         while let Some(chunk) = timeout(self.ledger.read_stall, payload.next())
             .await
             .map_err(|_| BodyError::Unreadable)?
--- a/crates/courseshed-edge/src/gateway/held_memory.rs
+++ b/crates/courseshed-edge/src/gateway/held_memory.rs
@@ -1,54 +1,52 @@
-//! The account of what a gateway holds for callers and servers that read slowly, and the decision
-//! what gives way when it is too much. Pure.
+//! Memory budget of a gateway for slow clients and servers, and the choice of clients to disconnect
+//! when it is exhausted. No I/O.
 //!
-//! Invariants: new request bodies are refused while streams under way still have room; a caller is
-//! cut off only if it takes nothing: for the stall limit, for a shorter time where memory for new
-//! bodies is short, at once where the total is exceeded. Where memory is the reason the one goes first whose
-//! bytes, times how long they wait, are most, and no more go than must.
+//! Invariants: new request bodies are refused while active streams still have memory; a client is
+//! disconnected only if it accepts no data: for the stall limit, for a shorter time under memory
+//! pressure, or at once when the total is exceeded. To free memory, clients with the largest
+//! product of bytes and stall time go first, and no more of them than necessary.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Memory of a gateway that holds nothing for anyone, in bytes: program, tables, connections to
-/// peers and what the allocator keeps.
+/// Memory of an idle gateway, in bytes: code, tables, peer connections and allocator overhead.
 const BASE_BYTES: u64 = 24_000_000;
-/// Least memory that is given to callers, in bytes, however small the machine: a few large bodies.
+/// Minimum memory budget for clients, in bytes, regardless of machine size.
 const LEAST_BYTES: u64 = 16 * 1024 * 1024;
-/// Memory of a connection with a stream on it that its caller reads, in bytes, beside what is read from
-/// the server: buffers of the library, and the tasks. Measured; see `docs/design/slow-readers.md`.
+/// Memory of a connection with a stream that its client keeps up with, in bytes, excluding data
+/// read from the server: library buffers and tasks. See `docs/design/slow-readers.md`.
 const CONNECTION_BYTES: usize = 36 * 1024;
-/// How long a caller may take nothing of what is ready for it. Callers give up by themselves after
-/// two seconds or more; this is several times that, so that a living caller's pause is shorter.
+/// How long a client may accept no data before it is disconnected. Exceeds the pauses of live
+/// clients, which themselves give up after a few seconds.
 const READ_STALL: Duration = Duration::from_secs(10);
 
-/// The part of the memory for new bodies beyond which it is short: the rest is room for those that come
-/// in before connections are looked at again.
+/// Fraction of the admission limit above which memory is under pressure. The rest is for bodies
+/// that arrive between two polls of the connections.
 const PRESSED_PART: usize = 7;
 const PRESSED_OF: usize = 8;
-/// The same while memory for new bodies is short: longer than callers wait that give up by
-/// themselves, and about as long as a refused caller that comes back a few times is kept waiting.
+/// Stall limit under memory pressure; longer than impatient clients wait before they disconnect.
 const PRESSED_STALL: Duration = Duration::from_secs(3);
 
-/// How much may be held.
+/// Memory limits of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldTerms {
-    /// Bytes held for all callers together; beyond that callers are cut off.
+    /// Total bytes held for all clients; above it, clients are disconnected.
     pub total_bytes: usize,
-    /// Bytes that each connection holds whatever is on it.
+    /// Fixed bytes charged for each connection.
     pub connection_bytes: usize,
-    /// Bytes held in all beyond which no new request body is taken; less than the total, so that
-    /// answers under way still have room.
+    /// Bytes held above which no new request body is admitted. Lower than the total, to leave
+    /// memory for active responses.
     pub admission_bytes: usize,
-    /// How long a caller may take nothing of what is ready for it before it is cut off.
+    /// How long a client may accept no data before it is disconnected.
     pub read_stall: Duration,
-    /// The same while memory for new bodies is short.
+    /// The same limit under memory pressure.
     pub pressed_stall: Duration,
 }
 
 impl HeldTerms {
-    /// Terms for a process that may use so many bytes. An eighth of what is left over the base is for
-    /// what comes between two looks at the connections and for the allocator's waste; another eighth
-    /// is kept from new bodies.
+    /// Limits for a process with the given memory. Of the memory above the base, an eighth is
+    /// reserved for allocator overhead and growth between two polls of the connections, and another
+    /// eighth is not available to new bodies.
     #[must_use]
     pub fn of_machine(memory_bytes: u64) -> Self {
         let total = (memory_bytes.saturating_sub(BASE_BYTES) / 8 * 7).max(LEAST_BYTES);
@@ -63,34 +61,34 @@
     }
 }
 
-/// What bytes are held for.
+/// The kind of data in a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HeldKind {
-    /// The body of a request, until no server can need it any more.
+    /// A request body, until no attempt can need it any more.
     Request,
-    /// An answer, or the part of it that was read from the server and not passed on.
+    /// Response data read from the server and not yet passed to the client's connection.
     Answer,
-    /// What was passed on and the caller's connection doesn't take.
+    /// Response data passed to the client's connection that its socket has not accepted.
     Unread,
 }
 
 const KINDS: usize = 3;
 
-/// Names a caller's connection in the account.
+/// ID of a client connection in the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct HeldId(u64);
 
-/// Why a caller is cut off.
+/// Why a client is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CutReason {
-    /// More is held for all than may be.
+    /// The budget is exhausted or under pressure.
     Memory,
-    /// It took nothing for too long.
+    /// The client accepted no data for the stall limit.
     Stall,
 }
 
 impl CutReason {
-    /// The name used in logs and counters.
+    /// The name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -100,16 +98,16 @@
     }
 }
 
-/// A caller that is to be cut off.
+/// A client to disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CutOff {
-    /// Whose connection.
+    /// The connection.
     pub id: HeldId,
-    /// Why.
+    /// Why it is disconnected.
     pub reason: CutReason,
     /// Bytes held for it.
     pub held_bytes: usize,
-    /// How long it has taken nothing.
+    /// How long it has accepted no data.
     pub unread_for: Duration,
 }
 
@@ -131,7 +129,7 @@
     }
 }
 
-/// What is held, for whom. Times are those of the process's steady clock.
+/// The bytes held for each client connection. Times are those of the process's monotonic clock.
 #[derive(Debug)]
 pub struct HeldMemory {
     terms: HeldTerms,
@@ -141,7 +139,7 @@
 }
 
 impl HeldMemory {
-    /// An account in which nothing is held.
+    /// Creates an empty budget.
     #[must_use]
     pub fn new(terms: HeldTerms) -> Self {
         Self {
@@ -152,7 +150,7 @@
         }
     }
 
-    /// Begins the account of one caller's connection.
+    /// Adds a client connection.
     pub fn begin(&mut self) -> HeldId {
         let id = HeldId(self.next);
         self.next += 1;
@@ -161,32 +159,32 @@
         id
     }
 
-    /// Ends it; nothing is held for it any more.
+    /// Removes a connection and releases its bytes.
     pub fn end(&mut self, id: HeldId) {
         if let Some(held) = self.callers.remove(&id) {
             self.total -= held.total() + self.terms.connection_bytes;
         }
     }
 
-    /// Bytes held for all.
+    /// Bytes held for all connections.
     #[must_use]
     pub fn total(&self) -> usize {
         self.total
     }
 
-    /// Whether so many more bytes of request bodies may be taken.
+    /// Whether the budget admits that many more bytes of request bodies.
     #[must_use]
     pub fn admits(&self, bytes: usize) -> bool {
         self.total.saturating_add(bytes) <= self.terms.admission_bytes
     }
 
-    /// Whether answers may be read ahead of their callers.
+    /// Whether responses may be read ahead of the client.
     #[must_use]
     pub fn has_room(&self) -> bool {
         self.total < self.terms.total_bytes
     }
 
-    /// Notes how many bytes of a kind are held for a caller now.
+    /// Sets the number of bytes that a connection holds in buffers of a kind.
     pub fn set(&mut self, id: HeldId, kind: HeldKind, bytes: usize) {
         if let Some(held) = self.callers.get_mut(&id) {
             let before = std::mem::replace(&mut held.bytes[kind as usize], bytes);
@@ -194,7 +192,7 @@
         }
     }
 
-    /// Notes what waits to be taken by a caller, and since when it has taken nothing.
+    /// Sets the unsent bytes of a connection, and since when it has accepted no data.
     pub fn note_unread(&mut self, id: HeldId, bytes: usize, since: Option<Duration>) {
         self.set(id, HeldKind::Unread, bytes);
         if let Some(held) = self.callers.get_mut(&id) {
@@ -202,7 +200,7 @@
         }
     }
 
-    /// The callers to cut off now; each is named once. Their bytes count until they have ended.
+    /// Selects the connections to disconnect, each once. Their bytes count until they have closed.
     pub fn cut_offs(&mut self, now: Duration) -> Vec<CutOff> {
         let mut cut = self.stalled(now);
         let fixed = self.terms.connection_bytes;
@@ -232,8 +230,8 @@
         stalled
     }
 
-    /// How long a caller must have taken nothing to be cut off while so much is held; none if no
-    /// memory is wanted.
+    /// The minimum stall for which a client is disconnected at this usage; `None` without memory
+    /// pressure.
     fn stall_borne(&self, held: usize) -> Option<Duration> {
         if held > self.terms.total_bytes {
             return Some(Duration::ZERO);
