--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -1,8 +1,8 @@
-//! Where a call goes next: to the engine that the scheduler of its pool grants, else to the server that this
-//! gateway chooses.
+//! Selects the server for the next attempt of a call: the engine granted by the pool scheduler, or
+//! a server chosen by this gateway.
 //!
-//! Invariants: a server that refused the call, or had it, is never granted to it again; the last server that had
-//! it gets it again only when no other may.
+//! Invariants: the scheduler's grant is never a server that refused or already received the call;
+//! the last server that received it is retried only if no other is available.
 
 use courseshed_pool::{CallDemand, DecisionInputs, NameKey, ProgramStanding};
 use courseshed_types::ServerKey;
@@ -18,27 +18,27 @@
 use super::schedule::Asked;
 use crate::metrics::ChoiceLabels;
 
-/// Servers that may refuse a request, or can't be reached, before the caller is told.
+/// Maximum number of servers that refuse a call or are unreachable before the client gets an error.
 const REFUSALS_BORNE: usize = 4;
-/// How often a request is sent to the same server again.
+/// Maximum number of retries at the same server.
 const REPEATS_BORNE: usize = 2;
-/// How often an engine may be granted that this gateway doesn't know, before it chooses by itself: the lists
-/// of servers differ for about a second.
+/// Maximum number of grants of engines that this gateway doesn't know before it chooses a server
+/// itself. Server lists of gateways and schedulers differ briefly after a change.
 const STRANGERS_BORNE: usize = 2;
-/// The names of who chose a server.
+/// Values of the metric label that tells who selected a server.
 const BY_SCHEDULER: &str = "scheduler";
 const BY_GATEWAY: &str = "local";
 
-/// What the scheduler of a pool came to.
+/// The result of asking the pool scheduler.
 enum Scheduled {
     Engine(Assigned),
-    /// There is no engine: the gateway chooses by itself. A scheduler that knows of none may lack news which the
-    /// gateway has; if it has none either, there is no server.
+    /// No engine was granted, so the gateway chooses a server itself. Its server list may be more
+    /// recent than the scheduler's.
     Unknown,
 }
 
 impl Attempts {
-    /// The server that the request goes to next; none if there is none.
+    /// Selects the server for the next attempt; `None` if none is available.
     pub(super) async fn assign(&mut self) -> Result<Option<Assigned>, Refusal> {
         if let Some(kept) = self.kept.take()
             && self.core.servers.borrow().listed(&kept.chosen.id).is_some()
@@ -62,9 +62,9 @@
         Ok(self.repeat())
     }
 
-    /// Asks the scheduler of the pool, if the service is one.
+    /// Asks the pool scheduler, if the service is a pool.
     async fn schedule(&mut self, excluded: &[String]) -> Result<Scheduled, Refusal> {
-        // The scheduler of a pool knows nothing of regions to which calls are restricted.
+        // Pool schedulers don't support region restrictions.
         let is_scheduled = self.is_pool && !self.homes.is_restricted();
         if !is_scheduled || !self.core.policy.uses(Mechanism::PoolScheduler) {
             return Ok(Scheduled::Unknown);
@@ -102,7 +102,8 @@
         Ok(Scheduled::Unknown)
     }
 
-    /// Chooses a server by what this gateway knows. The schedulers of a pool learn of the call with the others.
+    /// Chooses a server by this gateway's own statistics. In a pool, the call is later reported to
+    /// the scheduler as running.
     fn choose_here(&mut self, excluded: &[String]) -> Option<Assigned> {
         let chosen = {
             let table = self.core.servers.borrow();
@@ -122,7 +123,7 @@
         Some(Assigned::new(chosen, call))
     }
 
-    /// The server that had the request last, which doesn't count again.
+    /// Selects the last server again; this does not count towards the maximum number of servers.
     fn repeat(&mut self) -> Option<Assigned> {
         if self.repeats >= REPEATS_BORNE {
             return None;
@@ -141,7 +142,7 @@
         choices.get_or_create(&ChoiceLabels { by }).inc();
     }
 
-    /// What the call needs of an engine; what changes with time is filled in by [`Self::renewed`].
+    /// The scheduling demand of the call. Time-dependent fields are set by [`Self::renewed`].
     fn demand(&self, excluded: Vec<ServerKey>) -> CallDemand {
         let tenant = self.caller.tenant();
         let quota = tenant.and_then(|tenant| tenant.quota.as_ref());
@@ -164,7 +165,7 @@
         }
     }
 
-    /// The demand as it is now, under a number.
+    /// The demand with up-to-date times and the given call number.
     fn renewed(&self, demand: &CallDemand, number: u64) -> CallDemand {
         let program = demand.program.map(|standing| ProgramStanding {
             left_ms: self.program_left_ms(),
@@ -191,7 +192,7 @@
         })
     }
 
-    /// Time until the program should be over, counted from now.
+    /// Time left until the program should finish.
     fn program_left_ms(&self) -> Option<u32> {
         let left = self.call.program.as_ref()?.time_left?;
         let passed = Instant::now().saturating_duration_since(self.arrived);
--- a/crates/courseshed-edge/src/gateway/assigned.rs
+++ b/crates/courseshed-edge/src/gateway/assigned.rs
@@ -1,14 +1,15 @@
-//! What a call has once it is decided which server it goes to.
+//! The server assigned to an attempt.
 
 use super::chosen::Chosen;
 use super::core::InFlight;
 use super::schedule::ScheduledCall;
 
-/// A server for a call, and the call's number at the scheduler of the pool.
+/// A selected server, with the call's registration at the pool scheduler.
 pub(super) struct Assigned {
     pub chosen: Chosen,
     pub call: Option<ScheduledCall>,
-    /// Counts the call at the server, if that was begun: for one that is kept while a permit is renewed.
+    /// Set if the call is already counted as in flight, when a server is reused after the permit
+    /// expired.
     pub in_flight: Option<InFlight>,
 }
 
--- a/crates/courseshed-edge/src/gateway/call_book.rs
+++ b/crates/courseshed-edge/src/gateway/call_book.rs
@@ -1,7 +1,7 @@
-//! What a gateway knows of its calls at the schedulers of pools. Pure: times are passed in.
+//! Tracks a gateway's calls at the pool schedulers. No I/O; the current time is passed in.
 //!
-//! Invariants: a number is used once; each number that a controller knows of is ended there once; a call is among
-//! the running ones from when it was granted until it is over.
+//! Invariants: each call number is used once; every controller that has seen a call number is sent
+//! exactly one end note for it; a call counts as running from its grant to its end.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -10,44 +10,44 @@
 use courseshed_types::{NodeId, ServerKey};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How long a controller is passed over that gave no answer: a planned restart takes about as long, and
-/// it is short against the time that calls have.
+/// How long an unresponsive controller is skipped: about the duration of a planned restart.
 pub const SILENT_REST: Duration = Duration::from_secs(1);
-/// Room for the numbers of one millisecond, in bits: a later life begins behind all numbers of an earlier one.
+/// Bits reserved for the calls of one millisecond, so that a restarted gateway never reuses a
+/// number.
 const NUMBERS_OF_A_MILLISECOND: u32 = 20;
 
-/// A call with a number.
+/// A call with an assigned number.
 #[derive(Clone, Debug)]
 struct BookedCall {
     service: String,
-    /// Where it runs, and since when; none while it waits.
+    /// The engine and the time of assignment; `None` while the call is queued.
     at_engine: Option<(ServerKey, Duration)>,
-    /// The controllers that know its number.
+    /// Controllers that have seen the call number.
     known_to: Vec<NodeId>,
 }
 
-/// The scheduler that the calls of a service went to last.
+/// The scheduler that last received calls of a service.
 #[derive(Clone, Copy, Debug)]
 struct LastScheduler {
     controller: NodeId,
-    /// Its life; none before it answered.
+    /// Incarnation of the scheduler; `None` until its first response.
     incarnation: Option<u64>,
 }
 
-/// The calls of a gateway that schedulers know of or must learn of.
+/// The calls of a gateway that schedulers know of or have yet to be told of.
 #[derive(Clone, Debug)]
 pub struct CallBook {
     next_number: u64,
     calls: BTreeMap<u64, BookedCall>,
-    /// Controllers that gave no answer, and until when they are passed over.
+    /// Unresponsive controllers, with the end of their cooldown.
     resting: BTreeMap<NodeId, Duration>,
     schedulers: BTreeMap<String, LastScheduler>,
-    /// Notes that weren't sent yet, by controller and service.
+    /// Unsent notes, by controller and service.
     notes: BTreeMap<(NodeId, String), Vec<CallNote>>,
 }
 
 impl CallBook {
-    /// A book of a gateway that starts at a time of day, in milliseconds.
+    /// Creates the tracker of a gateway that starts at the given wall-clock time in milliseconds.
     #[must_use]
     pub fn new(time_of_day_ms: u64) -> Self {
         Self {
@@ -59,8 +59,8 @@
         }
     }
 
-    /// The controller that has the scheduler of a service: the same one for all gateways that hear the same
-    /// controllers. None if all of them rest.
+    /// Selects the controller that schedules a service by rendezvous hashing, so that gateways with
+    /// the same list of controllers agree. `None` if every controller is in cooldown.
     #[must_use]
     pub fn scheduler_of(
         &self,
@@ -78,21 +78,22 @@
         })
     }
 
-    /// Whether a controller is passed over.
+    /// Whether a controller is in cooldown.
     #[must_use]
     pub fn rests(&self, controller: NodeId, now: Duration) -> bool {
         let until = self.resting.get(&controller);
         until.is_some_and(|until| now < *until)
     }
 
-    /// Notes that a controller gave no answer.
+    /// Starts the cooldown of an unresponsive controller.
     pub fn rest(&mut self, controller: NodeId, now: Duration) {
         self.resting.retain(|_, until| now < *until);
         self.resting.insert(controller, now + SILENT_REST);
     }
 
-    /// Begins a call that waits at a controller. Returns its number, and whether the scheduler there must
-    /// first be told of the calls at engines, since the calls of the service went elsewhere before.
+    /// Registers a call that is queued at a controller. Returns its number and whether the
+    /// scheduler there must first be sent the running calls of the service, because another
+    /// controller scheduled it before.
     pub fn begin_waiting(&mut self, service: &str, controller: NodeId) -> (u64, bool) {
         let number = self.begin(service, None, vec![controller]);
         let last = self.schedulers.get(service);
@@ -107,7 +108,7 @@
         (number, is_other)
     }
 
-    /// Begins a call that runs at an engine which no scheduler chose. Returns its number.
+    /// Registers a call that runs at an engine chosen by this gateway. Returns its number.
     pub fn begin_running(&mut self, service: &str, engine: ServerKey, now: Duration) -> u64 {
         self.begin(service, Some((engine, now)), Vec::new())
     }
@@ -129,15 +130,15 @@
         number
     }
 
-    /// Notes that a call was granted an engine.
+    /// Records that a call was granted an engine.
     pub fn note_granted(&mut self, number: u64, engine: ServerKey, now: Duration) {
         if let Some(call) = self.calls.get_mut(&number) {
             call.at_engine = Some((engine, now));
         }
     }
 
-    /// Notes which life of a scheduler answered; true if it is another than the one before, which must be told
-    /// of the calls at engines.
+    /// Records the incarnation of a scheduler that responded. Returns true if it has changed, in
+    /// which case the scheduler must be sent the running calls.
     pub fn note_answer(&mut self, service: &str, controller: NodeId, incarnation: u64) -> bool {
         let Some(last) = self.schedulers.get_mut(service) else {
             return false;
@@ -149,7 +150,7 @@
         before.is_some_and(|before| before != incarnation)
     }
 
-    /// Ends a call: whoever knows of it is to be told.
+    /// Ends a call and queues a note for every controller that knows of it.
     pub fn end(&mut self, number: u64, end: CallEnd) {
         let Some(call) = self.calls.remove(&number) else {
             return;
@@ -160,12 +161,13 @@
         }
     }
 
-    /// The notes that weren't sent yet, by controller and service.
+    /// Takes the unsent notes, by controller and service.
     pub fn take_notes(&mut self) -> BTreeMap<(NodeId, String), Vec<CallNote>> {
         std::mem::take(&mut self.notes)
     }
 
-    /// The calls of a service that are at engines, to be told to a controller, which knows of them from then on.
+    /// The running calls of a service, for a controller, which is sent their end notes from then
+    /// on.
     pub fn tell_running(
         &mut self,
         service: &str,
@@ -193,7 +195,7 @@
         running
     }
 
-    /// The services whose calls went to a scheduler, each with the controller, and whether it has calls at engines.
+    /// Services with a scheduler: the service, its controller, and whether it has running calls.
     #[must_use]
     pub fn schedulers(&self) -> Vec<(String, NodeId, bool)> {
         let is_busy = |service: &str| {
@@ -206,13 +208,13 @@
             .collect()
     }
 
-    /// How many calls aren't over.
+    /// Number of calls that have not ended.
     #[must_use]
     pub fn len(&self) -> usize {
         self.calls.len()
     }
 
-    /// Whether all calls are over.
+    /// Whether no calls are in progress.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.calls.is_empty()
--- a/crates/courseshed-edge/src/gateway/schedule.rs
+++ b/crates/courseshed-edge/src/gateway/schedule.rs
@@ -1,9 +1,10 @@
-//! Asking the scheduler of a pool for an engine, and telling it what became of calls.
+//! Requests engines from pool schedulers and reports the ends of calls to them.
 //!
-//! The scheduler of a service is at a controller that all gateways find by the same rule. Without an answer
-//! a call goes on to the next controller, and after two of them its gateway chooses by itself.
+//! The scheduler of a service runs on a controller that all gateways select by the same hash. If a
+//! controller does not respond, the next one is asked; after two failures the gateway chooses an
+//! engine itself.
 //!
-//! Invariant: each number that was asked with is ended by one note, whatever becomes of its call.
+//! Invariant: each call number sent to a controller is ended by exactly one note.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -23,40 +24,38 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerMessage, PeerReply, PeerRequest};
 
-/// How long a controller may take to answer: it holds a request for 150 ms at most, and the rest is ten times
-/// a round between zones.
+/// Timeout of a request to a controller, which holds the request for up to 150 ms.
 const ANSWER_LIMIT: Duration = Duration::from_millis(250);
-/// Controllers that may give no answer to a call before its gateway chooses by itself.
+/// Maximum number of unresponsive controllers before the gateway chooses an engine itself.
 const FAILURES_BORNE: usize = 2;
-/// How often a scheduler is told all calls at engines, which repairs lost notes: rare against the notes
-/// themselves, and a few times within the length of a usual call.
+/// Interval at which running calls are sent to their scheduler again, to recover from lost notes.
 const RUNNING_INTERVAL: Duration = Duration::from_secs(2);
 
-/// What came of asking for an engine.
+/// The result of requesting an engine.
 pub(super) enum Asked {
-    /// An engine, and the call's number there.
+    /// The granted engine and the registration of the call.
     Granted(ScheduledCall, ServerKey, DecisionInputs),
-    /// The call won't be served in its time.
+    /// The call can't be served within its deadline; retry after the given time.
     Refused(Duration, DecisionInputs),
-    /// No engine may take it.
+    /// No engine may serve the call.
     NoEngine(DecisionInputs),
-    /// No scheduler could be asked.
+    /// No scheduler responded.
     Unknown,
-    /// The call's time is over.
+    /// The deadline passed.
     TooLate,
 }
 
-/// What a controller said.
+/// The reply of a controller.
 enum Answer {
     Verdict(Verdict, DecisionInputs),
     UnknownPool,
     Failed,
-    /// Another controller is to be asked.
+    /// Another controller has become the scheduler.
     Moved,
     TooLate,
 }
 
-/// Asks schedulers for the calls of a gateway.
+/// The gateway's client of the pool schedulers.
 pub(super) struct SchedulerClient {
     peers: Arc<Peers>,
     follower: Arc<FleetFollower>,
@@ -65,7 +64,7 @@
     book: RefCell<CallBook>,
     /// Wakes the task that sends notes.
     noted: Notify,
-    /// Changes when a controller fell silent, for the calls that wait there.
+    /// Notifies calls waiting at a controller that it became unresponsive.
     silenced: watch::Sender<()>,
 }
 
@@ -86,7 +85,8 @@
         })
     }
 
-    /// Asks for an engine until there is a verdict. `demand` says what the call needs at that moment.
+    /// Requests an engine until there is a verdict. `demand` returns the current demand for a call
+    /// number.
     pub(super) async fn ask(
         self: &Rc<Self>,
         service: &str,
@@ -131,7 +131,7 @@
         }
     }
 
-    /// Notes that a call goes to an engine that this gateway chose by itself.
+    /// Registers a call at an engine that this gateway chose itself.
     pub(super) fn begin_local(self: &Rc<Self>, service: &str, engine: ServerKey) -> ScheduledCall {
         let now = self.clock.now();
         let number = self.book.borrow_mut().begin_running(service, engine, now);
@@ -145,7 +145,7 @@
     fn begin_waiting(self: &Rc<Self>, service: &str, controller: NodeId) -> ScheduledCall {
         let (number, is_other) = self.book.borrow_mut().begin_waiting(service, controller);
         if is_other {
-            log::info!(event = "pool_scheduler_chosen", service, controller:% = controller; "the calls of a pool go to another scheduler");
+            log::info!(event = "pool_scheduler_chosen", service, controller:% = controller; "selected a new controller as the scheduler of a pool");
             self.tell_running(service, controller);
         }
         ScheduledCall {
@@ -161,7 +161,7 @@
         self.book.borrow().scheduler_of(service, &controllers, now)
     }
 
-    /// Asks one controller again and again until it decides.
+    /// Polls one controller until it decides.
     async fn ask_there(
         &self,
         call: &ScheduledCall,
@@ -195,7 +195,7 @@
                 }
                 PeerReply::UnknownPool => return Answer::UnknownPool,
                 _ => {
-                    self.pass_over(controller, "an answer to something else");
+                    self.pass_over(controller, "unexpected reply");
                     return Answer::Failed;
                 }
             }
@@ -205,7 +205,8 @@
         }
     }
 
-    /// Asks a controller; none if it doesn't answer, or didn't answer another call meanwhile.
+    /// Sends a request to a controller; `None` if it fails, or if the controller stops responding
+    /// to other calls.
     async fn request(&self, controller: NodeId, request: PeerRequest) -> Option<PeerReply> {
         let mut silenced = self.silenced.subscribe();
         let is_silenced = async {
@@ -233,13 +234,13 @@
         let is_new = !self.book.borrow().rests(controller, now);
         self.book.borrow_mut().rest(controller, now);
         if is_new {
-            log::warn!(event = "pool_scheduler_silent", controller:% = controller, reason; "a controller gave no verdict and is passed over");
+            log::warn!(event = "pool_scheduler_silent", controller:% = controller, reason; "controller did not return a scheduling verdict; skipping it temporarily");
             self.silenced.send_replace(());
         }
     }
 
-    /// Takes in which life of the scheduler answered. What it grants counts as running from here on, so that a new
-    /// life is told of it with the others.
+    /// Records the incarnation of the scheduler that replied. A granted call counts as running
+    /// first, so that a restarted scheduler receives it with the other running calls.
     fn note_answer(
         &self,
         call: &ScheduledCall,
@@ -256,12 +257,12 @@
             book.note_answer(service, controller, incarnation)
         };
         if is_other {
-            log::info!(event = "pool_scheduler_restarted", service, controller:% = controller, incarnation; "a scheduler began anew and is told of the calls under way");
+            log::info!(event = "pool_scheduler_restarted", service, controller:% = controller, incarnation; "pool scheduler restarted; sending it the running calls");
             self.tell_running(service, controller);
         }
     }
 
-    /// Tells a scheduler all calls of a service that are at engines.
+    /// Sends the running calls of a service to its scheduler.
     fn tell_running(&self, service: &str, controller: NodeId) {
         self.send_notes();
         let now = self.clock.now();
@@ -274,7 +275,7 @@
         self.send(controller, message);
     }
 
-    /// Sends the notes that weren't sent yet.
+    /// Sends pending notes.
     fn send_notes(&self) {
         let notes = self.book.borrow_mut().take_notes();
         for ((controller, service), notes) in notes {
@@ -282,10 +283,11 @@
         }
     }
 
-    /// Tells a controller. What is lost is repaired when the calls at engines are told next.
+    /// Sends a message to a controller. A lost message is compensated by the next list of running
+    /// calls.
     fn send(&self, controller: NodeId, message: PeerMessage) {
         if let Err(error) = self.peers.send(controller, message) {
-            log::info!(event = "pool_note_lost", controller:% = controller; "a scheduler could not be told: {error}");
+            log::info!(event = "pool_note_lost", controller:% = controller; "failed to send a message to a pool scheduler: {error}");
         }
     }
 
@@ -295,7 +297,7 @@
     }
 }
 
-/// Sends notes as calls end, for as long as the process lives.
+/// Sends notes as calls end, until the process exits.
 pub(super) async fn send_notes(client: Rc<SchedulerClient>) {
     loop {
         client.noted.notified().await;
@@ -303,7 +305,8 @@
     }
 }
 
-/// Tells schedulers again and again which calls are at engines; once more after the last one is over.
+/// Periodically sends running calls to their schedulers, and once more after the last call of a
+/// service ended.
 pub(super) async fn repeat_running(client: Rc<SchedulerClient>) {
     let mut busy_before = BTreeSet::new();
     loop {
@@ -322,7 +325,7 @@
     }
 }
 
-/// A call that has a number at schedulers. Whatever becomes of it, they are told once.
+/// The registration of a call at schedulers. Its end is reported exactly once.
 pub(super) struct ScheduledCall {
     client: Rc<SchedulerClient>,
     number: u64,
@@ -330,7 +333,7 @@
 }
 
 impl ScheduledCall {
-    /// Says what became of the call.
+    /// Reports the end of the call.
     pub(super) fn end(mut self, end: CallEnd) {
         self.is_over = true;
         self.client.end(self.number, end);
