--- a/crates/courseshed-edge/src/gateway/load.rs
+++ b/crates/courseshed-edge/src/gateway/load.rs
@@ -1,7 +1,7 @@
-//! Telling the other gateways of our calls at servers and of what became of them, and learning of theirs.
+//! Exchanges in-flight calls and call outcomes with the other gateways.
 //!
-//! The exchange goes through the controller that is followed, and takes a bounded part of the link,
-//! however many servers there are.
+//! The exchange goes through a controller and uses bounded bandwidth, regardless of the number of
+//! servers.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,12 +14,13 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerReply, PeerRequest};
 
-/// Shortest time from one exchange to the next.
+/// Minimum interval between exchanges.
 const INTERVAL: Duration = Duration::from_millis(80);
-/// How long a controller may take to answer.
+/// Timeout of an exchange.
 const ANSWER_LIMIT: Duration = Duration::from_millis(250);
 
-/// Exchanges loads for as long as the process lives. A gateway without calls says so once.
+/// Exchanges load reports until the process exits. A gateway that has become idle reports that
+/// once.
 pub(super) async fn share_load(core: Rc<GatewayCore>, peers: Arc<Peers>) {
     let mut was_idle = true;
     let mut pause = INTERVAL;
@@ -45,7 +46,7 @@
     }
 }
 
-/// Returns how many servers the others have calls at.
+/// Sends the load report and applies the others' reports. Returns their number of servers.
 async fn exchange(core: &GatewayCore, peers: &Peers, own: LoadReport) -> usize {
     let Some(controller) = core.follower.controllers().first().copied() else {
         return 0;
--- a/crates/courseshed-edge/src/gateway/outcome_change.rs
+++ b/crates/courseshed-edge/src/gateway/outcome_change.rs
@@ -1,20 +1,20 @@
-//! What the judgement of servers by their calls came to.
+//! Changes in the set of avoided servers.
 
 use std::time::Duration;
 
 use courseshed_registry::{AvoidanceChange, OutcomeCounts};
 
-/// A server begins or ceases to be avoided.
+/// A server starts or stops being avoided.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OutcomeChange {
-    /// The life of the server.
+    /// ID of the server instance.
     pub server: String,
-    /// Its service.
+    /// The service of the server.
     pub service: String,
-    /// What changed.
+    /// The kind of change.
     pub change: AvoidanceChange,
-    /// What was counted of it by all gateways, as far as known.
+    /// Outcomes of the calls of all known gateways.
     pub counts: OutcomeCounts,
-    /// How long ago the other gateways told of their part.
+    /// Age of the outcomes reported by other gateways.
     pub counts_age: Duration,
 }
--- a/crates/courseshed-edge/src/gateway/outcomes.rs
+++ b/crates/courseshed-edge/src/gateway/outcomes.rs
@@ -1,7 +1,8 @@
-//! Which servers are avoided since they fail far more calls than the others of their service. Pure:
-//! times are passed in.
+//! Outlier detection: avoids servers that fail far more calls than the others of their service. No
+//! I/O; the current time is passed in.
 //!
-//! Judged by what this gateway saw and what the others said; see [`courseshed_registry::Avoidance`].
+//! Combines the outcomes seen by this gateway with those reported by the others; see
+//! [`courseshed_registry::Avoidance`].
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -14,12 +15,12 @@
 use super::policy::Mechanism;
 use super::servers::{Report, Seen, ServerTable};
 
-/// Servers of a service that said nothing yet which count as sound when others are judged: a majority is to be
-/// sound, and this many outweigh all that one gateway ever sees fail at a time.
+/// Maximum number of servers without reported calls that count as healthy in the majority required
+/// to avoid a server.
 const MOST_SILENT: usize = 64;
 
 impl ServerTable {
-    /// Judges the servers anew, of services where some fail calls.
+    /// Re-evaluates the servers of all services that have failed calls.
     pub fn advance_outcomes(&mut self, now: Duration) {
         let services: BTreeSet<String> = self
             .seen
@@ -32,7 +33,6 @@
         }
     }
 
-    /// Judges the servers of one service anew.
     fn advance_outcomes_of(&mut self, service: &str, now: Duration) {
         if !self.policy.uses(Mechanism::SharedOutcomes) {
             return;
@@ -83,7 +83,7 @@
         }
     }
 
-    /// A server that answered its probes need not go on resting for what it failed before.
+    /// Resets the backoff of servers that have passed their probes.
     fn end_rests_of_trusted(&mut self) {
         for change in &self.changes {
             if change.change == AvoidanceChange::Ended
@@ -94,7 +94,7 @@
         }
     }
 
-    /// Judges the service of a server anew, if what became of a call there may change something.
+    /// Re-evaluates the service of a server if the report can change the result.
     pub fn advance_outcomes_after(&mut self, id: &str, report: Report, now: Duration) {
         let Some(seen) = self.seen.get(id) else {
             return;
@@ -110,12 +110,12 @@
         }
     }
 
-    /// What changed since this was asked last.
+    /// Takes the changes since the last call.
     pub fn take_changes(&mut self) -> Vec<OutcomeChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// How many servers are avoided, by service; with zeros.
+    /// Number of avoided servers of each service, including zeros.
     #[must_use]
     pub fn avoided(&self) -> BTreeMap<String, usize> {
         let services = self.directory.services();
@@ -128,14 +128,14 @@
         avoided
     }
 
-    /// Notes that a request goes to a server at a time.
+    /// Records that a request is sent to a server.
     pub fn note_sent(&mut self, id: &str, now: Duration) {
         if let Some(seen) = self.seen_mut(id) {
             seen.avoidance.note_sent(now);
         }
     }
 
-    /// How a server stands with this gateway.
+    /// The standing of a server at this gateway.
     pub(super) fn standing(&self, seen: &Seen, now: Duration) -> Standing {
         let turn = ProbeTurn {
             seed: self.seed ^ u64::from(seen.key.0),
@@ -147,7 +147,7 @@
 }
 
 impl Seen {
-    /// What became of the calls of all gateways, as far as known.
+    /// Outcomes of the calls of all known gateways.
     fn outcomes(&self, now: Duration) -> OutcomeCounts {
         let own = self.own_outcomes.at(now);
         own.plus(&self.others_outcomes.at(now))
--- a/crates/courseshed-edge/src/gateway/servers.rs
+++ b/crates/courseshed-edge/src/gateway/servers.rs
@@ -1,5 +1,5 @@
-//! The servers, with what this gateway has seen of them and what the others said. Pure: times are
-//! passed in. Which one a call goes to is chosen in [`super::choice`]; which ones fail is judged in
+//! Server statistics, from this gateway's own calls and from the reports of other gateways. No I/O;
+//! the current time is passed in. Server selection is in [`super::choice`], outlier detection in
 //! [`super::outcomes`].
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -21,101 +21,100 @@
 use super::prompt_memory::PromptMemory;
 use crate::follower::FleetView;
 
-/// Weight of the newest time in the average of a server's times.
+/// Weight of a new sample in a server's moving average latency.
 const NEWEST_WEIGHT: f64 = 0.15;
-/// First and longest rest after a failure.
+/// Bounds of the exponential backoff after failures.
 const FIRST_REST: Duration = Duration::from_millis(400);
 const LONGEST_REST: Duration = Duration::from_secs(4);
-/// How long what other gateways said of their calls counts.
+/// How long load reports of other gateways stay valid.
 const OTHERS_LIFE: Duration = Duration::from_secs(1);
-/// Servers of which something is known beyond which idle ones are forgotten: several times those that the calls
-/// of a second go to at 20,000 calls a second over 78 pools; some 0.3 MB.
+/// Number of tracked servers above which idle ones are dropped.
 const MOST_SEEN: usize = 1024;
-/// What is left of counted calls when they tell nothing more: the least that is told to others.
+/// Decayed call count below which outcomes are negligible; the smallest value that is reported.
 const FADED_COUNT: f64 = 1.0 / 16.0;
-/// Rest after a server said that it is full.
+/// Backoff after a server rejected a call.
 const FULL_REST: Duration = Duration::from_millis(40);
-/// A server that answered so many calls of this gateway in a row with errors of its own rests. Where 1
-/// call in 100 is answered so by the application, that befalls a sound server once in 10,000 pairs.
+/// Consecutive error responses after which a server is backed off. One is not enough, because
+/// applications return occasional errors on healthy servers.
 const ERRORS_BEFORE_REST: u32 = 2;
 
-/// What became of a request at a server.
+/// The result of a call at a server.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Report {
-    /// It answered a plain call, or went on with a stream by one event, after so long.
+    /// Latency of a non-streaming response, or of one event of a stream.
     Paced(Duration),
-    /// It answered a call, be it with a refusal of what was asked; said once for each call.
+    /// A response without a server error, including rejections of invalid input; reported once per
+    /// call.
     Answered,
-    /// It answered a call with an error of its own.
+    /// A server error response.
     Erred,
-    /// It was full, or refused without running the request.
+    /// The server was at capacity or refused the call without executing it.
     Full,
-    /// The connection failed, or no whole answer came.
+    /// The connection failed or the response was incomplete.
     Failed,
 }
 
-/// One server and what is known of it.
+/// A server and its statistics.
 #[derive(Clone, Debug)]
 pub(super) struct Seen {
     pub server: Arc<Server>,
     pub key: ServerKey,
     /// Calls of this gateway.
     pub in_flight: u32,
-    /// Calls of the other gateways, as they said last.
+    /// Calls of the other gateways, as last reported.
     others: u32,
-    /// Average time of a plain answer or from one event to the next, in milliseconds; 0 when none
-    /// was seen.
+    /// Moving average latency of a response or stream event, in milliseconds; 0 without samples.
     pub usual_ms: f64,
     failures: u32,
-    /// Errors of its own in a row.
+    /// Consecutive server error responses.
     errors: u32,
     pub rests_until: Duration,
-    /// What became of the calls of this gateway.
+    /// Outcomes of this gateway's calls.
     pub own_outcomes: FadingCounts,
-    /// What became of the calls of the other gateways, as they said last.
+    /// Outcomes of the other gateways' calls, as last reported.
     pub others_outcomes: FadingCounts,
     pub avoidance: Avoidance,
 }
 
-/// The servers, as this gateway sees them.
+/// The listed servers and their statistics.
 #[derive(Clone, Debug, Default)]
 pub struct ServerTable {
     pub(super) policy: Policy,
     pub(super) directory: Directory,
-    /// What is known of servers; of those that aren't here nothing is.
+    /// Statistics of servers; absent for those without any.
     pub(super) seen: BTreeMap<String, Seen>,
-    /// Servers that the other gateways had something to tell of last.
+    /// Servers covered by the last report of the other gateways.
     told: Vec<String>,
-    /// When servers that said that they are cold should bear all again.
+    /// When servers that reported a cold start are expected to be warm.
     cold_until: BTreeMap<String, Duration>,
-    /// Servers that are avoided or probed.
+    /// Servers that are avoided or being probed.
     pub(super) avoided_ids: BTreeSet<String>,
-    /// When the other gateways' calls were noted last.
+    /// When the last report of the other gateways was received.
     pub(super) others_noted: Duration,
     pub(super) gateways: u32,
-    /// Differs by gateway, so that they take turns.
+    /// Differs between gateways, so that they take turns in probing.
     pub(super) seed: u64,
     pub(super) changes: Vec<OutcomeChange>,
     pub(super) prompts: PromptMemory,
-    /// How long calls take, by service.
+    /// Latency estimates, by service.
     pub(super) paces: BTreeMap<String, PaceEstimate>,
     pub(super) zones: Arc<ZoneMap>,
-    /// How far the servers of other regions are.
+    /// Network latency to servers of other regions.
     pub(super) region_way: RegionWay,
     serving: ServingTerms,
 }
 
-/// Which of the servers may get calls at all.
+/// Fleet-wide constraints on which servers receive calls.
 #[derive(Clone, Debug, Default)]
 pub struct ServingTerms {
-    /// Zones whose servers get nothing.
+    /// Evacuated zones, whose servers receive no calls.
     pub evacuated: Arc<EvacuatedZones>,
-    /// Services whose servers bear only so many calls a second while they are cold.
+    /// Services that limit the call rate of cold servers.
     pub cold_bounded: BTreeSet<String>,
 }
 
 impl ServerTable {
-    /// A table without servers.
+    /// Creates a table without servers.
     #[must_use]
     pub fn new(policy: Policy) -> Self {
         Self {
@@ -124,19 +123,19 @@
         }
     }
 
-    /// The same table with a seed, by which gateways take turns.
+    /// Sets the seed by which gateways take turns in probing.
     #[must_use]
     pub fn with_seed(self, seed: u64) -> Self {
         Self { seed, ..self }
     }
 
-    /// The same table with the regions of zones.
+    /// Sets the region of each zone.
     #[must_use]
     pub fn with_zones(self, zones: Arc<ZoneMap>) -> Self {
         Self { zones, ..self }
     }
 
-    /// Takes in how long it took to connect to a server, for a gateway in a zone.
+    /// Records the time taken to connect to a server from a gateway in `zone`.
     pub fn note_connected(&mut self, id: &str, zone: &str, took: Duration) {
         let Some(server) = self.directory.get(id) else {
             return;
@@ -146,7 +145,7 @@
         }
     }
 
-    /// Takes in what changed of the fleet.
+    /// Applies a new view of the fleet.
     pub fn follow(&mut self, view: &FleetView, now: Duration) {
         self.replace(&view.servers, now);
         let services = view
@@ -160,12 +159,12 @@
         };
     }
 
-    /// Sets which servers may get calls.
+    /// Sets the constraints on which servers receive calls.
     pub fn set_serving(&mut self, serving: ServingTerms) {
         self.serving = serving;
     }
 
-    /// Takes in the list of servers. What was seen of those that stay is kept.
+    /// Replaces the list of servers. Statistics of servers that remain are kept.
     pub fn replace(&mut self, servers: &ServerList, now: Duration) {
         for change in self.directory.follow(servers) {
             match change {
@@ -197,7 +196,7 @@
         }
     }
 
-    /// What is known of a server, to be noted more; none if it isn't listed.
+    /// The statistics of a server, created if absent; `None` if the server isn't listed.
     pub(super) fn seen_mut(&mut self, id: &str) -> Option<&mut Seen> {
         let server = self.directory.get(id)?;
         if !self.seen.contains_key(id) {
@@ -206,37 +205,38 @@
         self.seen.get_mut(id)
     }
 
-    /// Whether a server is on the list, in whatever state.
+    /// Whether a server is listed, in any state.
     #[must_use]
     pub fn contains(&self, id: &str) -> bool {
         self.directory.get(id).is_some()
     }
 
-    /// Whether calls may go to a server as far as it and operators say.
+    /// Whether the server's state and its zone permit calls.
     pub(super) fn takes_calls(&self, server: &Server) -> bool {
         server.state == ServerState::Ready && !self.serving.evacuated.zones.contains(&server.zone)
     }
 
-    /// Whether a server bears little for now, by what it said last. What it bears then is summed over all
-    /// gateways, which none of them knows, so it gets nothing while others are there.
+    /// Whether the server last reported a cold start in a service that limits cold servers. The
+    /// limit applies to the calls of all gateways together, which no gateway knows, so cold servers
+    /// are used only if no warm one is available.
     pub(super) fn is_cold(&self, server: &Server) -> bool {
         server.cold_ms > 0 && self.serving.cold_bounded.contains(&server.service)
     }
 
-    /// Whether a server that said that it is cold should have become warm since, without having said so.
+    /// Whether a server is warm, or its reported cold start should be over.
     pub(super) fn should_be_warm(&self, server: &Server, now: Duration) -> bool {
         let until = self.cold_until.get(&server.id);
         !self.is_cold(server) || until.is_none_or(|until| now >= *until)
     }
 
-    /// A server that is on the list and takes new work.
+    /// Returns a server if it is listed and accepts new calls.
     #[must_use]
     pub fn listed(&self, id: &str) -> Option<Chosen> {
         let server = self.directory.get(id)?;
         (self.takes_calls(server) && !self.is_cold(server)).then(|| Chosen::of(server))
     }
 
-    /// The server of a service that a key names, if it is on the list and takes new work.
+    /// Returns a server of a service by its key, if it is listed and accepts new calls.
     #[must_use]
     pub fn listed_as(&self, service: &str, key: ServerKey) -> Option<Chosen> {
         let found = self.directory.by_key(key)?;
@@ -244,7 +244,8 @@
         self.listed(&found.id)
     }
 
-    /// Takes in that the first part of an answer came, with so many tokens to read before it.
+    /// Records the time to the first chunk of a response, given the number of uncached prompt
+    /// tokens.
     pub fn note_read(
         &mut self,
         id: &str,
@@ -262,7 +263,7 @@
         }
     }
 
-    /// Takes in that a call was over at a server, and what that holds of the prompt now.
+    /// Records a finished call and the prompt segments that the server now has cached.
     pub fn note_finished(
         &mut self,
         id: &str,
@@ -277,12 +278,12 @@
         }
     }
 
-    /// Takes in what a server held of a prompt when it answered another gateway.
+    /// Records cached prompt segments reported by another gateway.
     pub fn note_cached(&mut self, cached: &CachedPrompt, now: Duration) {
         self.prompts.note_cached(cached, now);
     }
 
-    /// Forgets what is too old to be true.
+    /// Drops outdated entries.
     pub fn tidy(&mut self, now: Duration) {
         self.prompts.tidy(now);
         let services: BTreeSet<&str> = self.directory.services().collect();
@@ -291,14 +292,14 @@
         self.forget_idle(now);
     }
 
-    /// Forgets servers that nothing is to be told of, if there are too many.
+    /// Drops idle servers if too many are tracked.
     fn forget_idle(&mut self, now: Duration) {
         if self.seen.len() > MOST_SEEN {
             self.seen.retain(|_, seen| !seen.is_idle(now));
         }
     }
 
-    /// The calls of this gateway and what became of those before, for the others.
+    /// The current calls of this gateway and the outcomes of past ones, for the other gateways.
     #[must_use]
     pub fn load_report(&self, now: Duration) -> LoadReport {
         let seen = self.seen.values();
@@ -308,7 +309,7 @@
         )
     }
 
-    /// Takes in the calls of the other gateways.
+    /// Applies the load report of the other gateways.
     pub fn note_others(&mut self, others: &LoadReport, now: Duration) {
         for id in std::mem::take(&mut self.told) {
             if let Some(seen) = self.seen.get_mut(&id) {
@@ -330,13 +331,13 @@
         self.gateways = others.gateways + 1;
     }
 
-    /// This gateway's part of what all gateways together may have at a server.
+    /// This gateway's share of a limit that applies to all gateways together.
     #[must_use]
     pub fn part_of(&self, limit: u32) -> u32 {
         (limit / self.gateways.max(1)).max(1)
     }
 
-    /// Forgets what the other gateways said, if that is too long ago.
+    /// Drops the calls reported by other gateways once the report has expired.
     pub fn forget_old_loads(&mut self, now: Duration) {
         if now.saturating_sub(self.others_noted) < OTHERS_LIFE {
             return;
@@ -348,21 +349,21 @@
         }
     }
 
-    /// Notes that a request goes to a server.
+    /// Counts a call as in flight at a server.
     pub fn begin(&mut self, id: &str) {
         if let Some(seen) = self.seen_mut(id) {
             seen.in_flight += 1;
         }
     }
 
-    /// Notes that a request is no longer at a server.
+    /// Removes an in-flight call from a server.
     pub fn end(&mut self, id: &str) {
         if let Some(seen) = self.seen.get_mut(id) {
             seen.in_flight = seen.in_flight.saturating_sub(1);
         }
     }
 
-    /// Takes in what became of a request.
+    /// Records the result of a call.
     pub fn report(&mut self, id: &str, report: Report, now: Duration) {
         let rests = self.policy.uses(Mechanism::Rests);
         let tells = self.policy.uses(Mechanism::SharedOutcomes);
@@ -398,7 +399,7 @@
 }
 
 impl Report {
-    /// What an answer with a status says of its server.
+    /// Classifies a response by its status.
     #[must_use]
     pub fn of_answer(status: StatusCode) -> Self {
         if status.is_server_error() {
@@ -408,7 +409,8 @@
         }
     }
 
-    /// What it says of the server that had a call; nothing if it says nothing, or is one of many.
+    /// The outcome counted for outlier detection; `None` for reports that are not the final one of
+    /// a call.
     fn outcome(self) -> Option<ServerOutcome> {
         match self {
             Self::Answered => Some(ServerOutcome::Answered),
@@ -419,7 +421,7 @@
 }
 
 impl Seen {
-    /// Forgets what the server failed.
+    /// Resets the backoff and error counters.
     pub fn end_rest(&mut self) {
         self.failures = 0;
         self.errors = 0;
@@ -432,7 +434,7 @@
         self.rests_until = now + rest.min(LONGEST_REST);
     }
 
-    /// Calls of all gateways, as far as known.
+    /// Calls of all known gateways.
     pub fn calls(&self) -> u32 {
         self.in_flight + self.others
     }
@@ -453,7 +455,7 @@
         }
     }
 
-    /// Whether forgetting what is known of the server loses no more than its usual times.
+    /// Whether the entry holds nothing but the average latency.
     fn is_idle(&self, now: Duration) -> bool {
         let counted = self
             .own_outcomes
