--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -1,10 +1,10 @@
-//! Which server a call goes to. Pure: times are passed in.
+//! Server selection. No I/O; the current time is passed in.
 //!
-//! A call goes where it is expected to cost least (see [`super::cost`]); of servers that cost nearly
-//! the same, all gateways prefer the same one for the same prompt, so that it need not be read at
-//! many. Servers that rest or are avoided are chosen only when no other is open; one that is to be
-//! probed is chosen before all others. Servers of evacuated zones get nothing, and cold ones of a service
-//! that bounds what they bear nothing until their time is over.
+//! Selects the server with the lowest expected cost (see [`super::cost`]). Among servers of similar
+//! cost, all gateways prefer the same one for the same prompt, so that few servers have to prefill
+//! it. Servers in backoff or avoided by outlier detection are used only if no other is available; a
+//! server due for a probe is selected first. Servers of evacuated zones are excluded, and so are
+//! cold servers of services that limit them until they should be warm.
 
 use std::borrow::Cow;
 use std::collections::HashSet;
@@ -21,45 +21,46 @@
 use super::policy::Mechanism;
 use super::servers::{Seen, ServerTable};
 
-/// How much the order that all gateways share may weigh, in milliseconds.
+/// Maximum cost, in milliseconds, by which the shared preference order ranks servers.
 const PREFERENCE_MS: f64 = 4.0;
 
-/// How many times more servers are weighed when those weighed are all crowded.
+/// Factor by which the candidate set grows while all candidates are crowded.
 const WIDER: usize = 4;
-/// The most times as many as first that are weighed while one of them is open: among some 2,000 servers of the
-/// own zone the least crowded one is about as good as among all.
+/// Candidate set growth at which the search stops if any candidate is available; beyond it, more
+/// candidates hardly improve the choice.
 const MOST_WIDTH: usize = 16;
 
-/// What a call needs of a server.
+/// The requirements of a call for its server.
 #[derive(Clone, Copy, Debug)]
 pub struct Demand<'a> {
     /// The service.
     pub service: &'a str,
     /// The zone of the gateway.
     pub zone: &'a str,
-    /// The prompt; empty if it doesn't matter what a server saw before.
+    /// The prompt segments; empty if cached prompts are irrelevant.
     pub parts: &'a [PromptPart],
-    /// Most calls that this gateway may have at one server.
+    /// Maximum number of calls of this gateway at one server.
     pub most_in_flight: u32,
-    /// Where the servers must be.
+    /// The regions in which the call may be served.
     pub homes: &'a HomeRegions,
 }
 
-/// What decided the choice of a server, for the log.
+/// The inputs of a server selection, for the access log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ChoiceInputs {
-    /// Calls of all gateways there, as far as known.
+    /// Calls of all known gateways at the server.
     pub calls: u32,
-    /// How long ago the other gateways said what they have there.
+    /// Age of the last load report of the other gateways.
     pub loads_age: Duration,
-    /// Tokens of the prompt that it had still to read, as far as known.
+    /// Estimated number of prompt tokens that the server does not have cached.
     pub unread_tokens: u32,
 }
 
 impl ServerTable {
-    /// Chooses a server for a call, none of `excluded`. `tie` breaks ties.
+    /// Selects a server for a call, excluding `excluded`. `tie` is a random number that breaks
+    /// ties.
     ///
-    /// Weighs more servers while those weighed are all closed or crowded.
+    /// The candidate set grows while all candidates are unavailable or crowded.
     #[must_use]
     pub fn choose(
         &self,
@@ -97,8 +98,8 @@
         }
     }
 
-    /// What is known of the servers that are weighed for a call: the preferred ones, those that hold what is the
-    /// call's own of the prompt, and those that may be probed.
+    /// The candidates for a call: the preferred servers, those that have the call's own prompt
+    /// segments cached, and avoided ones that may be due for a probe.
     fn weighed(
         &self,
         demand: &Demand,
@@ -164,7 +165,7 @@
         Some(chosen)
     }
 
-    /// The servers that are warm for sure, or all if there are none.
+    /// The servers known to be warm, or all if there are none.
     fn warm_first<'a>(&self, open: Vec<&'a Seen>) -> Vec<&'a Seen> {
         let warm: Vec<&Seen> = open
             .iter()
@@ -194,7 +195,7 @@
         }
     }
 
-    /// What the way of a call between two zones costs, in milliseconds.
+    /// Network cost of a call between two zones, in milliseconds.
     fn way_ms(&self, from: &str, to: &str) -> f64 {
         if !self.policy.uses(Mechanism::OwnZone) {
             return 0.0;
@@ -211,7 +212,7 @@
         estimate.pace()
     }
 
-    /// What is known of a server that a call is about to go to.
+    /// The statistics of a server that a call is about to be sent to.
     #[must_use]
     pub fn choice_inputs(&self, id: &str, parts: &[PromptPart], now: Duration) -> ChoiceInputs {
         let calls = self.seen.get(id).map_or(0, Seen::calls);
@@ -224,7 +225,7 @@
 }
 
 impl Seen {
-    /// Its times against the usual ones of its service.
+    /// The server's latency relative to the median of its service.
     fn slowness(&self, usual_ms: f64) -> f64 {
         if self.usual_ms == 0.0 || usual_ms == 0.0 {
             return 1.0;
@@ -232,12 +233,12 @@
         (self.usual_ms / usual_ms).clamp(0.5, 10.0)
     }
 
-    /// The server's place in an order that depends on the salt alone: from 0, first, to 1.
+    /// The server's rank in the shared preference order for `salt`, from 0 (first) to 1.
     fn preference(&self, salt: u64) -> f64 {
         preference(self.key, salt) as f64 / u64::MAX as f64
     }
 
-    /// Whether another call is expected to wait there.
+    /// Whether a further call is expected to queue.
     fn is_crowded(&self) -> bool {
         would_wait(self.calls(), self.server.slots)
     }
--- a/crates/courseshed-edge/src/gateway/chosen.rs
+++ b/crates/courseshed-edge/src/gateway/chosen.rs
@@ -1,22 +1,22 @@
-//! A server as a call needs it: how to reach it, and which life of it is meant.
+//! The address and instance of a selected server.
 
 use std::net::SocketAddr;
 
 use courseshed_registry::Server;
 
-/// A server that was chosen.
+/// A selected server.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Chosen {
-    /// The life of the server.
+    /// ID of the server instance.
     pub id: String,
-    /// What the server calls itself.
+    /// The name that the server reports for itself.
     pub name: String,
-    /// Where it listens.
+    /// The address that it listens on.
     pub address: SocketAddr,
 }
 
 impl Chosen {
-    /// A server, as it is listed.
+    /// Copies the details of a listed server.
     #[must_use]
     pub fn of(server: &Server) -> Self {
         Self {
--- a/crates/courseshed-edge/src/gateway/cost.rs
+++ b/crates/courseshed-edge/src/gateway/cost.rs
@@ -1,52 +1,53 @@
-//! What a call is expected to cost at a server, in milliseconds of everyone's time. Pure.
+//! Expected cost of a call at a server, in milliseconds, including the delay caused to other calls.
+//! No I/O.
 //!
-//! A server runs calls side by side, each a little slower for the others, up to its slots; beyond
-//! them calls wait. What it has to read of a prompt holds up the call and, since servers read
-//! between the tokens of other calls, those as well.
+//! A server runs calls concurrently, each slightly slower for the others, up to its slots; further
+//! calls queue. Prefilling uncached prompt tokens delays the call itself and, because servers
+//! interleave prefill with decoding, the other running calls.
 
 use std::time::Duration;
 
 use courseshed_pool::Quantile;
 
-/// How much slower a call is for each other one at its server: batches take longer, and calls bring
-/// prompts that are read in between.
+/// Relative slowdown of a call by each other running call, from larger batches and interleaved
+/// prefills.
 const SLOWDOWN_OF_CALL: f64 = 0.03;
-/// Share of the slots from which on a call is taken to wait: what is known of other gateways lags.
+/// Fraction of the slots above which a call is expected to queue; below 1 because load reports lag.
 const WAITING_FROM: f64 = 0.8;
-/// By how much of the time of a read each running call counts as held up: itself once, and once more
-/// for the room that the read takes from calls to come.
+/// Weight of the prefill time for each running call: the delay of the call itself and the capacity
+/// taken from later ones.
 const READ_HOLDS_UP: f64 = 2.0;
-/// What sending a call to another zone is worth.
+/// Cost of sending a call to another zone of the same region, in milliseconds.
 pub const OTHER_ZONE_MS: f64 = 8.0;
-/// Round trips of a call to another region: one to connect, two to bring a prompt of some 20 to 70 KB
-/// through windows that open slowly, and one to its first part.
+/// Round trips of a call to another region: connection setup, a request body of a few TCP windows,
+/// and the first chunk of the response.
 const ROUND_TRIPS_OF_CALL: f64 = 4.0;
-/// What a round trip between regions is taken to be before one was seen, in milliseconds.
+/// Round-trip time to another region assumed before the first sample, in milliseconds.
 const USUAL_REGION_ROUND_TRIP_MS: f64 = 60.0;
-/// Weight of the newest round trip.
+/// Weight of a new sample in the moving average of the round-trip time.
 const NEWEST_ROUND_TRIP: f64 = 0.1;
 
-/// What is known of a service's calls.
+/// Estimated latencies of the calls of a service.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServicePace {
-    /// How long a call is at a server.
+    /// Duration of a call, in milliseconds.
     pub call_ms: f64,
-    /// How long a server reads a token of a prompt.
+    /// Prefill time of a prompt token, in milliseconds.
     pub read_ms_per_token: f64,
 }
 
-/// What is known of a server and a call that may go there.
+/// Statistics of a server, and of a call that may be sent to it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Prospect {
     /// Calls of all gateways at the server.
     pub calls: u32,
-    /// Calls that it runs at once.
+    /// Calls that the server runs concurrently.
     pub slots: u32,
-    /// Its times against the usual ones of its service.
+    /// Latency relative to the median of the service.
     pub slowness: f64,
-    /// Tokens of the prompt that it has still to read.
+    /// Prompt tokens that the server does not have cached.
     pub unread_tokens: u32,
-    /// What the way there and back costs, in milliseconds.
+    /// Network cost of the call, in milliseconds.
     pub way_ms: f64,
 }
 
@@ -63,22 +64,22 @@
     own * prospect.slowness + prospect.way_ms
 }
 
-/// By how many times its own length a further call is taken to wait at a server.
+/// Expected queueing time of a further call, as a multiple of a call's duration.
 fn waiting_share(calls: u32, slots: u32) -> f64 {
     let slots = f64::from(slots.max(1));
     (f64::from(calls) + 1.0 - WAITING_FROM * slots).max(0.0) / slots
 }
 
-/// Whether a further call is taken to wait at a server.
+/// Whether a further call is expected to queue.
 #[must_use]
 pub fn would_wait(calls: u32, slots: u32) -> bool {
     waiting_share(calls, slots) > 0.0
 }
 
-/// Learns how far the servers of other regions are, from the time that connecting to them takes.
+/// Estimates the latency to servers of other regions from connection setup times.
 ///
-/// Guards against calls that cross a link which all traffic between two regions shares while servers of
-/// the own region could take them. A link that fills makes connecting slower, and so the way dearer.
+/// Congestion on a link between regions slows connection setup, which raises the cost of remote
+/// servers and keeps calls in their own region.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RegionWay {
     round_trip_ms: f64,
@@ -93,38 +94,37 @@
 }
 
 impl RegionWay {
-    /// Takes in how long a connection to a server of another region took to come about.
+    /// Records the time taken to connect to a server of another region.
     pub fn note(&mut self, took: Duration) {
         let took_ms = took.as_secs_f64() * 1000.0;
         self.round_trip_ms += NEWEST_ROUND_TRIP * (took_ms - self.round_trip_ms);
     }
 
-    /// What the way of a call there and back costs, in milliseconds.
+    /// Network cost of a call to another region, in milliseconds.
     #[must_use]
     pub fn call_ms(&self) -> f64 {
         ROUND_TRIPS_OF_CALL * self.round_trip_ms
     }
 }
 
-/// Learns how long the calls of a service take, and how fast its servers read.
+/// Estimates the call duration and the prefill rate of a service.
 ///
-/// What waited is no sign of slow reading, and a server that held more of a prompt than was known is
-/// none of fast reading. So the times of reads are followed at their lower quartile.
+/// Prefill times are tracked at their lower quartile, because queueing inflates samples and unknown
+/// cache hits deflate them.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PaceEstimate {
     call_ms: f64,
     read_ms_per_token: Quantile,
-    /// Time to the first part of an answer when there is little to read, in milliseconds.
+    /// Time to the first chunk of a response with little to prefill, in milliseconds.
     first_part_ms: Quantile,
 }
 
-/// Weight of a new time in the average of a service's times.
+/// Weight of a new sample in the moving average of the call duration.
 const NEWEST_WEIGHT: f64 = 0.05;
-/// Where times of reads are followed.
 const LOWER_QUARTILE: f64 = 0.25;
-/// Fewer tokens than this say how long a first part takes without reading.
+/// Samples with fewer uncached tokens measure the time to the first chunk without prefill.
 const FEW_TOKENS: u32 = 500;
-/// Fewer tokens than this say little of how fast a server reads.
+/// Samples with fewer uncached tokens are too noisy to estimate the prefill rate.
 const TELLING_TOKENS: u32 = 2_000;
 
 impl Default for PaceEstimate {
@@ -138,7 +138,7 @@
 }
 
 impl PaceEstimate {
-    /// What is expected now.
+    /// The current estimates.
     #[must_use]
     pub fn pace(&self) -> ServicePace {
         ServicePace {
@@ -147,12 +147,13 @@
         }
     }
 
-    /// Takes in how long a whole call was at a server.
+    /// Records the duration of a call at a server.
     pub fn note_call(&mut self, took_ms: f64) {
         self.call_ms += NEWEST_WEIGHT * (took_ms - self.call_ms);
     }
 
-    /// Takes in how long the first part of an answer took, with so many tokens to read before it.
+    /// Records the time to the first chunk of a response, given the number of uncached prompt
+    /// tokens.
     pub fn note_read(&mut self, unread_tokens: u32, took_ms: f64) {
         if unread_tokens < FEW_TOKENS {
             self.first_part_ms.note(took_ms);
--- a/crates/courseshed-edge/src/gateway/directory.rs
+++ b/crates/courseshed-edge/src/gateway/directory.rs
@@ -1,13 +1,13 @@
-//! All servers that are listed, and which of them are weighed for a call. Pure.
+//! Index of the listed servers, and selection of the candidates for a call. No I/O.
 //!
-//! A gateway of a large fleet makes few calls and can't weigh all servers for each, nor does it need to: those
-//! of its own zone that all gateways prefer for the same prompt (rendezvous hashing) are as many as the
-//! prompt's calls need, and others come in only when these are crowded. Up to [`OWN_ZONE`] servers in the own
-//! zone and [`OTHER_ZONE`] in each other one, all are weighed.
+//! In a large fleet, costing every server for every call is too expensive. The candidates are the
+//! servers of the own zone that come first in the rendezvous hashing order of the prompt, which all
+//! gateways share, plus some of each other zone; the set grows while they are crowded. Up to
+//! [`OWN_ZONE`] servers in the own zone and [`OTHER_ZONE`] in each other zone, all servers are
+//! candidates.
 //!
-//! Work for a call depends on these numbers, and work for a change of the list on what changed, whatever the
-//! size of the fleet: weighing 10,000 servers took 1 ms of processor time for each call, which is 8 ms on an
-//! eighth of a core, and as much for each change that a gateway heard of.
+//! The cost of a call depends on these limits, and the cost of a list change on the size of the
+//! change; neither depends on the size of the fleet.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,23 +17,23 @@
 use courseshed_types::ServerKey;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Servers of the own zone that are weighed first. With slots for 4 to 16 calls each they run several times
-/// what one shared prompt brings to a zone at 20,000 calls a second over 19 zones and 13 models.
+/// Initial number of candidates in the own zone; their slots cover several times the calls that
+/// share one prompt.
 const OWN_ZONE: usize = 128;
-/// Servers of each other zone that are weighed first.
+/// Initial number of candidates in each other zone.
 const OTHER_ZONE: usize = 32;
-/// Prompts whose preferred servers are remembered for a zone: those of 13 models with a few applications each.
+/// Maximum number of prompts whose preference order is cached for a zone.
 const REMEMBERED_PROMPTS: usize = 64;
-/// How many more servers are remembered for a prompt than are asked for, so that removals seldom make the
-/// whole zone be looked through.
+/// Factor by which a cached preference order exceeds the requested size, so that removals rarely
+/// force a new scan of the zone.
 const SPARE: usize = 2;
 
-/// How servers that are alike are taken in turn.
+/// How candidates are picked among equivalent servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Preference {
-    /// All gateways prefer the same for the same number.
+    /// The rendezvous hashing order for this salt, which all gateways share.
     Shared(u64),
-    /// Any will do; the number picks some.
+    /// An arbitrary range of servers that starts at this index.
     Any(u64),
 }
 
@@ -49,26 +49,26 @@
 #[derive(Clone, Debug, Default)]
 struct ZoneServers {
     servers: Vec<Arc<Server>>,
-    /// Places of the servers among them, by id.
+    /// Index in `servers`, by server ID.
     places: HashMap<String, usize>,
     preferred: RefCell<HashMap<u64, PreferredServers>>,
 }
 
-/// The servers of a zone that are preferred for one number, most preferred first.
+/// The first servers of a zone in the rendezvous hashing order for one salt.
 #[derive(Clone, Debug)]
 struct PreferredServers {
     order: Vec<(u64, Arc<Server>)>,
-    /// All servers whose place in the order is before this one are among them.
+    /// All servers with a rank below this are in `order`.
     complete_before: u64,
 }
 
-/// Where a server stands for a number: the lowest is preferred.
+/// Rendezvous hashing rank of a server for a salt; the lowest is preferred.
 pub(super) fn preference(server: ServerKey, salt: u64) -> u64 {
     xxh3_64_with_seed(&server.0.to_le_bytes(), salt)
 }
 
 impl Directory {
-    /// Takes in a newer list; returns what changed.
+    /// Applies a newer server list and returns the changes.
     pub(super) fn follow(&mut self, list: &ServerList) -> Vec<ListChange> {
         let changes = list.changes_from(&self.listed);
         self.listed = list.clone();
@@ -111,23 +111,22 @@
         self.listed.get(id)
     }
 
-    /// The server that a key names.
     pub(super) fn by_key(&self, key: ServerKey) -> Option<&Arc<Server>> {
         self.by_key.get(&key)
     }
 
-    /// The services that have servers.
+    /// Names of services with at least one server.
     pub(super) fn services(&self) -> impl Iterator<Item = &str> {
         self.services.keys().map(String::as_str)
     }
 
-    /// How many servers a service has.
+    /// Number of servers of a service.
     pub(super) fn count(&self, service: &str) -> usize {
         let zones = self.services.get(service).into_iter().flatten();
         zones.map(|(_, zone)| zone.servers.len()).sum()
     }
 
-    /// The servers that are weighed for a call of a service from a zone; `width` times as many as first.
+    /// The candidates for a call from a zone; `width` multiplies the initial number.
     pub(super) fn candidates(
         &self,
         service: &str,
@@ -171,7 +170,7 @@
         }
     }
 
-    /// Adds at most so many servers to those picked.
+    /// Appends at most `most` servers to `picked`.
     fn pick(&self, preference: Preference, most: usize, picked: &mut Vec<Arc<Server>>) {
         if self.servers.len() <= most {
             picked.extend(self.servers.iter().cloned());
--- a/crates/courseshed-edge/src/gateway/policy.rs
+++ b/crates/courseshed-edge/src/gateway/policy.rs
@@ -1,41 +1,42 @@
-//! The mechanisms that a gateway decides by. Each can be switched off, to measure what it is worth.
+//! The mechanisms that a gateway uses in its decisions. Each can be disabled, to measure its
+//! effect.
 
 use std::collections::BTreeSet;
 use std::str::FromStr;
 
 use snafu::Snafu;
 
-/// One mechanism of a gateway's decisions.
+/// A mechanism that can be disabled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
-    /// What servers have read of a prompt counts when one is chosen.
+    /// Server selection considers which prompt segments servers have cached.
     PromptMemory,
-    /// A kept turn tells which server made it.
+    /// Stored turns record which server generated them.
     KeptTurnHints,
-    /// Stores tell which servers hold a program's prompts.
+    /// Record stores report which servers have a program's prompts cached.
     ProgramHints,
-    /// Gateways tell each other of their calls at servers.
+    /// Gateways share their in-flight call counts.
     SharedLoads,
-    /// Servers whose times are longer than usual cost more.
+    /// Servers that are slower than usual cost more.
     ServerPace,
-    /// Servers that failed or were full rest.
+    /// Servers that failed or were at capacity are backed off.
     Rests,
-    /// Repeatable calls whose answer is lost go to another server.
+    /// Repeatable calls without a timely response are retried at another server.
     SilenceLimit,
     /// All gateways prefer the same server for the same prompt.
     SharedPreference,
     /// Servers of other zones cost more.
     OwnZone,
-    /// How fast servers read is learned.
+    /// The prefill rate of servers is estimated from samples.
     LearnedReading,
-    /// One scheduler chooses the engines of a pool for the calls of all gateways.
+    /// One scheduler per pool assigns engines to the calls of all gateways.
     PoolScheduler,
-    /// Gateways tell each other of the calls that servers failed, and avoid those that fail far more.
+    /// Gateways share call outcomes and avoid servers that fail far more calls than others.
     SharedOutcomes,
 }
 
 impl Mechanism {
-    /// All of them.
+    /// All mechanisms.
     pub const ALL: [Self; 12] = [
         Self::PromptMemory,
         Self::KeptTurnHints,
@@ -51,7 +52,7 @@
         Self::SharedOutcomes,
     ];
 
-    /// Its name in settings.
+    /// The name used in settings.
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
@@ -71,9 +72,9 @@
     }
 }
 
-/// A name that no mechanism has.
+/// A name that matches no mechanism.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("{name:?} is no mechanism; there are {}", Mechanism::ALL.map(Mechanism::as_str).join(", ")))]
+#[snafu(display("unknown mechanism {name:?}; expected one of {}", Mechanism::ALL.map(Mechanism::as_str).join(", ")))]
 pub struct UnknownMechanism {
     name: String,
 }
@@ -90,14 +91,14 @@
     }
 }
 
-/// Which mechanisms a gateway uses: all but those that were switched off.
+/// The enabled mechanisms of a gateway; all by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Policy {
     without: BTreeSet<Mechanism>,
 }
 
 impl Policy {
-    /// All mechanisms but these.
+    /// A policy with all mechanisms except those given.
     #[must_use]
     pub fn without(mechanisms: impl IntoIterator<Item = Mechanism>) -> Self {
         Self {
@@ -105,7 +106,7 @@
         }
     }
 
-    /// Whether a mechanism is used.
+    /// Whether a mechanism is enabled.
     #[must_use]
     pub fn uses(&self, mechanism: Mechanism) -> bool {
         !self.without.contains(&mechanism)
--- a/crates/courseshed-edge/src/gateway/prompt_memory.rs
+++ b/crates/courseshed-edge/src/gateway/prompt_memory.rs
@@ -1,18 +1,19 @@
-//! Which servers have lately read which parts of prompts, as far as this gateway saw. Pure.
+//! Estimates which prompt segments are in the prefix caches of servers. No I/O.
 //!
-//! A server keeps what it read until others need the room, and does not say so. What is noted here
-//! is therefore an estimate: it is forgotten after a while, and a wrong one costs only time.
+//! Servers evict cached segments without notice. Entries therefore expire, and a wrong one only
+//! costs latency.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 
-/// How long a part is taken to stay with a server after its last use.
+/// How long a segment is assumed to stay cached after its last use.
 const KEPT_FOR: Duration = Duration::from_secs(30);
-/// Servers that are remembered as holding one part: a program's turns are at one to three.
+/// Maximum number of servers tracked for one segment; the turns of a program usually run on one to
+/// three.
 const HOLDERS_OF_PART: usize = 8;
-/// Most notes at once; the oldest give way.
+/// Maximum number of entries; the oldest are dropped first.
 const MOST_NOTES: usize = 40_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -27,24 +28,24 @@
     used_at: Duration,
 }
 
-/// What servers have read.
+/// Estimated contents of the servers' prefix caches.
 #[derive(Clone, Debug, Default)]
 pub struct PromptMemory {
     notes: HashMap<PartAtServer, Note>,
-    /// The servers that used a part last, the newest last.
+    /// Servers that have a segment cached, most recently used last.
     holders: HashMap<u64, Vec<ServerKey>>,
 }
 
 impl PromptMemory {
-    /// Notes that a server has read all parts just now.
+    /// Records that a server has just prefilled all segments.
     pub fn note(&mut self, server: ServerKey, parts: &[PromptPart], now: Duration) {
         for part in parts {
             self.insert(server, *part, now);
         }
     }
 
-    /// Takes in what a server held when it had answered, this gateway or another one. What was seen
-    /// there since then is not lowered by it.
+    /// Records the segments that a server had cached when it responded to a call of any gateway.
+    /// Never lowers the token count of an existing entry.
     pub fn note_cached(&mut self, cached: &CachedPrompt, now: Duration) {
         let server = cached.server;
         for part in &cached.parts {
@@ -71,8 +72,8 @@
         }
     }
 
-    /// Servers that used what is a call's own of its prompt lately: all its parts but the first, which is
-    /// shared by many calls and so held by servers that all gateways prefer for it.
+    /// Servers that have the call's own prompt segments cached: all but the first segment, which
+    /// many calls share.
     #[must_use]
     pub fn holders(&self, parts: &[PromptPart], now: Duration) -> Vec<ServerKey> {
         let own = parts.iter().skip(1);
@@ -88,7 +89,7 @@
         holders
     }
 
-    /// How many tokens of a prompt a server has still to read.
+    /// Number of prompt tokens that a server does not have cached.
     #[must_use]
     pub fn unread_tokens(&self, server: ServerKey, parts: &[PromptPart], now: Duration) -> u32 {
         let mut unread: u32 = 0;
@@ -125,7 +126,7 @@
         note.map_or(0, |note| note.tokens)
     }
 
-    /// Forgets what is old, and the oldest when there is too much.
+    /// Drops expired entries, and the oldest if there are too many.
     pub fn tidy(&mut self, now: Duration) {
         let mut limit = KEPT_FOR;
         loop {
