--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -1,11 +1,11 @@
-//! Who a call is made for, and whether the key that it shows may still be used.
+//! Authenticates calls and checks that their API keys are still valid.
 //!
-//! Invariant: a call is sent to a server only while its key is held by the tenant that the server is
-//! told, in a routing table that was in force less than [`AccessTerms::proof_lasts`] ago. The age is
-//! that of a question which a controller answered on behalf of the leader, counted from when the
-//! question was sent, so no two machines' clocks are compared. The worst case of a key that is taken
-//! away: the table was proven to be in force just before the change was acknowledged, and the call is
-//! sent `revocation - margin` later; the margin is left for its way to the server.
+//! Invariant: a call is sent to a server only while its key belongs to the tenant that the server
+//! is told, according to a routing table proven current less than [`AccessTerms::proof_lasts`] ago.
+//! The age of the proof is measured from when this gateway sent the request that a controller
+//! answered on behalf of the leader, so no clocks of different machines are compared. In the worst
+//! case the proof was issued just before a revocation was acknowledged, and the call is sent
+//! `revocation - margin` later; the margin covers its way to the server.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,41 +16,41 @@
 use super::call::Credential;
 use super::refusal::Refusal;
 
-/// Left of the time within which a key must be out of use, for the way of a call to a server: many
-/// times a connection between zones (1 to 5 ms), and what a processor's share may hold a send up.
+/// Part of the revocation time reserved for the delivery of a call to its server, including
+/// scheduling delays of the process.
 const SEND_MARGIN: Duration = Duration::from_millis(400);
-/// The largest part of that time which the margin may take, where it is short.
+/// Divisor of the revocation time that bounds the margin.
 const SEND_MARGIN_PART: u32 = 8;
-/// An unknown key may be one that was added since the table was proven. In touch, a proof is at most
-/// 1.6 s old: one question held for 0.6 s, the next one under way, and the controller's own 0.4 s.
+/// Maximum age of the proof for which an unknown key is rejected; with an older one, the key may
+/// have been added since. Exceeds the age of the proof of a connected gateway.
 const UNKNOWN_KEY_PROOF: Duration = Duration::from_millis(2500);
 
-/// Another gateway may have a proof.
+/// Another gateway may have fresh proof.
 const NOT_PROVEN_HERE: Refusal = Refusal::NoProof {
     is_everywhere: false,
 };
 
-/// What is asked of a gateway whose callers are tenants.
+/// Settings of a gateway that authenticates tenants.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TenantTerms {
-    /// How soon a key must be out of use everywhere once it was taken away; none if a gateway that
-    /// hears nothing may go on with what it knows.
+    /// Time within which a revoked key is rejected everywhere; `None` if a disconnected gateway may
+    /// keep using its last routing table.
     pub revocation: Option<Duration>,
-    /// How tenants' requests are counted.
+    /// Quota settings.
     pub quota: QuotaTerms,
 }
 
-/// How long a key may be used without hearing that it still is one.
+/// How long keys are accepted without fresh proof that the routing table is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct AccessTerms {
-    /// Age at which the proof of a routing table lapses; none if keys are used for as long as no
-    /// newer table is known.
+    /// Age at which the proof of a routing table expires; `None` if the last known table never
+    /// expires.
     proof_lasts: Option<Duration>,
 }
 
 impl AccessTerms {
-    /// Terms under which a key is out of use everywhere within `revocation` of the acknowledgement
-    /// that it was taken away.
+    /// Terms under which a revoked key is rejected everywhere within `revocation` of the
+    /// acknowledgement of its removal.
     #[must_use]
     pub fn strict(revocation: Duration) -> Self {
         let margin = SEND_MARGIN.min(revocation / SEND_MARGIN_PART);
@@ -59,7 +59,7 @@
         }
     }
 
-    /// Whether a table whose proof is so old may be used to let keys in.
+    /// Whether a routing table with a proof of this age may be used to accept keys.
     #[must_use]
     pub fn is_proven(&self, proof_age: Option<Duration>) -> bool {
         match self.proof_lasts {
@@ -68,11 +68,11 @@
         }
     }
 
-    /// Who a call is made for.
+    /// Authenticates a call.
     ///
     /// # Errors
-    /// [`Refusal::UnknownKey`] if no tenant holds the key, [`Refusal::NoProof`] if that, or that one
-    /// does, isn't known for sure.
+    /// [`Refusal::UnknownKey`] if the key belongs to no tenant, [`Refusal::NoProof`] if the proof
+    /// is too old to tell.
     pub fn identify(
         &self,
         credential: Credential,
@@ -112,11 +112,11 @@
         })
     }
 
-    /// Whether a caller that was let in by the table of one version may be served right now.
+    /// Whether a caller authenticated by the table `version` may still be served.
     ///
     /// # Errors
-    /// [`Refusal::UnknownKey`] if its tenant holds the key no more, [`Refusal::NoProof`] if the table
-    /// is not proven.
+    /// [`Refusal::UnknownKey`] if the key no longer belongs to the tenant, [`Refusal::NoProof`] if
+    /// the proof has expired.
     pub fn check_again(
         &self,
         caller: &Caller,
@@ -141,32 +141,32 @@
     }
 }
 
-/// A tenant, with the key that it is known by.
+/// An authenticated tenant.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Identity {
     /// The tenant.
     pub tenant: Arc<Tenant>,
-    /// Its key.
+    /// The key it authenticated with.
     pub key: KeyDigest,
 }
 
-/// Who a call is made for.
+/// The caller of a request.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Caller {
-    /// The tenant; none where calls need no key.
+    /// The tenant; `None` if the fleet requires no keys.
     pub identity: Option<Identity>,
-    /// Whether servers must not see the key.
+    /// Whether the key is removed before forwarding.
     pub hides_key: bool,
 }
 
 impl Caller {
-    /// The tenant; none where calls need no key.
+    /// The tenant; `None` if the fleet requires no keys.
     #[must_use]
     pub fn tenant(&self) -> Option<&Arc<Tenant>> {
         self.identity.as_ref().map(|identity| &identity.tenant)
     }
 
-    /// The tenant's name; none where calls need no key.
+    /// The tenant's name; `None` if the fleet requires no keys.
     #[must_use]
     pub fn tenant_name(&self) -> Option<&str> {
         self.tenant().map(|tenant| tenant.name.as_str())
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -1,8 +1,8 @@
-//! Permits for calls of tenants whose requests are limited, and the exchange with their owner.
+//! Rate-limit permits of tenants with a quota, and their exchange with the owner of the quota, the
+//! leader of the controllers.
 //!
-//! A call takes a permit of those that this gateway holds. If none is free it asks the owner at once,
-//! and waits for as long as an answer is likely to bring one: a controller answers within a round
-//! between zones.
+//! A call takes a permit held by this gateway. If none is free, the gateway requests more at once,
+//! and the call waits for a bounded time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,22 +21,22 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
 
-/// Pause between reports while permits are held. Two reports take what is idle here to another
-/// gateway, and a lease of 5 s is renewed many times.
+/// Interval of reports while permits are held. Two reports move idle permits to another gateway;
+/// leases are renewed many times before they expire.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the owner may take: many times a round between zones (3 to 10 ms).
+/// Timeout of a report; many times the round trip between zones.
 const ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// Shortest time from one report to the next, however many calls wait.
+/// Minimum interval between reports.
 const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
-/// How long a call waits for a permit at most: what takes idle ones here from other gateways, which
-/// is two exchanges and some.
+/// Longest wait for a permit: enough for the two exchanges that reclaim idle permits from other
+/// gateways.
 const WAIT_LIMIT: Duration = Duration::from_millis(600);
-/// The part of a call's time that it may wait.
+/// Divisor of a call's remaining time that bounds its wait for a permit.
 const WAIT_PART: u32 = 4;
-/// Answers after which a call no longer waits for a tenant whose permits are taken everywhere.
+/// Responses from the owner after which a call is refused if all permits of its tenant are in use.
 const ANSWERS_BORNE: u32 = 2;
 
-/// A gateway's permits, and its side of the exchange with their owner.
+/// The permits of a gateway and its side of the exchange with the owner.
 pub(super) struct Quotas {
     holder: RefCell<QuotaHolder>,
     clock: Clock,
@@ -59,8 +59,8 @@
     /// Takes a permit of a tenant for a call that is about to be sent.
     ///
     /// # Errors
-    /// [`Refusal::OverQuota`] if the tenant's permits are taken, [`Refusal::NoQuota`] if the owner
-    /// can't be asked.
+    /// [`Refusal::OverQuota`] if all permits of the tenant are in use, [`Refusal::NoQuota`] if the
+    /// owner does not respond.
     pub(super) async fn acquire(
         core: &Rc<GatewayCore>,
         tenant: &str,
@@ -136,7 +136,7 @@
     }
 }
 
-/// Counts a call as waiting for as long as it lives.
+/// Counts a call as waiting for a permit until dropped.
 struct WaitingCall {
     core: Rc<GatewayCore>,
     tenant: String,
@@ -159,7 +159,7 @@
     }
 }
 
-/// A permit that a call has taken. It is given back if the call is never sent.
+/// A permit taken by a call. Returned on drop unless it was used.
 pub(super) struct Permit {
     core: Rc<GatewayCore>,
     tenant: String,
@@ -175,17 +175,18 @@
         }
     }
 
-    /// Occupies the permit from now on; false if it has lapsed, so that nothing may be sent.
+    /// Marks the permit as used. Returns false if it has expired, in which case nothing may be
+    /// sent.
     pub(super) fn send(&mut self) -> bool {
         let quotas = &self.core.quotas;
         let now = quotas.clock.now();
         let may_send = quotas.holder.borrow_mut().send(now, &self.tenant);
-        // Whether sent or lapsed, it is out of hand.
+        // An expired permit is not returned either.
         self.sent_at = Some(now);
         may_send
     }
 
-    /// Frees the permit: the server did not run the call.
+    /// Frees the permit after the server refused the call without executing it.
     pub(super) fn not_run(self) {
         if let Some(sent_at) = self.sent_at {
             let mut holder = self.core.quotas.holder.borrow_mut();
@@ -202,8 +203,8 @@
     }
 }
 
-/// Exchanges reports for permits for as long as the process lives. A gateway that holds none and
-/// wants none says nothing.
+/// Exchanges reports for permits until the process exits. Sends nothing while no permits are held
+/// or requested.
 pub(super) async fn exchange_permits(
     core: Rc<GatewayCore>,
     peers: Arc<Peers>,
@@ -253,7 +254,7 @@
     }
 }
 
-/// Whom to ask next: the leader that a controller named, else the one after it.
+/// The next controller to ask: the leader named in the reply, otherwise the next in the list.
 fn next_controller(
     core: &GatewayCore,
     asked: Option<NodeId>,
