--- a/crates/courseshed-edge/src/gateway/answer_times.rs
+++ b/crates/courseshed-edge/src/gateway/answer_times.rs
@@ -1,22 +1,22 @@
-//! How long the answers of plain calls take, by route, and so when a silent server is no longer
-//! waited for. Pure: times are passed in.
+//! Response times of non-streaming calls by route, from which the response timeout of a server is
+//! derived. No I/O.
 //!
-//! A server may run a call and its answer be lost on the way. A call that may run twice then goes to
-//! another server instead of waiting for its deadline. What is seen is followed at its 95th percentile;
-//! a wait that was given up counts as a time seen, so that servers that became slow are waited for longer.
+//! If a response is lost, a repeatable call is retried at another server instead of waiting for its
+//! deadline. The timeout is a multiple of the 95th percentile of response times. Timeouts count as
+//! samples, so that it adapts to servers that have become slower.
 
 use std::collections::HashMap;
 use std::time::Duration;
 
 use courseshed_pool::Quantile;
 
-/// Share of the answers of a route that come within the time that is followed.
+/// The tracked quantile.
 const FOLLOWED: f64 = 0.95;
-/// How much longer than the 95th percentile a server may be silent.
+/// Timeout relative to the 95th percentile.
 const PATIENCE: f64 = 3.0;
-/// Shorter silence says nothing, whatever was seen.
+/// Minimum timeout.
 const LEAST_SILENCE: Duration = Duration::from_millis(100);
-/// Answers seen before they count.
+/// Minimum number of samples from which a timeout is derived.
 const TELLING_ANSWERS: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
@@ -25,14 +25,14 @@
     long_ms: Quantile,
 }
 
-/// Times of the answers of plain calls.
+/// Response times by route.
 #[derive(Clone, Debug, Default)]
 pub struct AnswerTimes {
     routes: HashMap<String, RouteTimes>,
 }
 
 impl AnswerTimes {
-    /// Takes in how long an answer took, or a wait that was given up.
+    /// Records a response time, or the duration of a wait that timed out.
     pub fn note(&mut self, route: &str, took: Duration) {
         let took_ms = took.as_secs_f64() * 1000.0;
         if let Some(times) = self.routes.get_mut(route) {
@@ -47,7 +47,7 @@
         self.routes.insert(route.to_owned(), first);
     }
 
-    /// How long a server may be silent with a call of a route; none while too little is known.
+    /// How long a server may take to respond to a call of a route; `None` with too few samples.
     #[must_use]
     pub fn silence_borne(&self, route: &str) -> Option<Duration> {
         let times = self.routes.get(route)?;
@@ -58,7 +58,7 @@
         Some(silence.max(LEAST_SILENCE))
     }
 
-    /// Forgets the routes that are gone.
+    /// Drops routes that no longer exist.
     pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.routes.retain(|route, _| is_there(route));
     }
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -1,9 +1,9 @@
-//! Sending one request to servers until one answers.
+//! Sends a request to servers until one responds.
 //!
-//! Invariants: a request that may run once is sent again only after a server said that it did not
-//! run; a request is sent to no more servers than its route allows, where a server that refused it
-//! or has ended since doesn't count; once a server that had it broke off, it is never said that it
-//! did not run.
+//! Invariants: a non-idempotent request is sent again only after a server stated that it did not
+//! execute it; a request is sent to at most as many servers as its route allows, not counting those
+//! that refused it or are unreachable; once a server failed while it had the request, the gateway
+//! never reports it as not executed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -34,38 +34,39 @@
 use super::servers::Report;
 use super::upstream::{Upstream, UpstreamError};
 
-/// What a thing known by its key alone counts for, in tokens of a prompt.
+/// Prompt tokens attributed to a request that has only an affinity key.
 const TOKENS_OF_KEY: u32 = 2_000;
-/// Less time than this is not worth another try.
+/// Minimum remaining time for another attempt.
 pub(super) const LEAST_TIME: Duration = Duration::from_millis(15);
 
-/// An answer that has begun.
+/// A response whose head has been received.
 pub(super) struct Opened {
     pub head: ResponseHead,
     pub upstream: Upstream,
     pub server: String,
     pub sent_at: Instant,
-    /// Tokens of the prompt that the server had to read, as far as was known.
+    /// Estimated number of prompt tokens that the server had to prefill.
     pub unread_tokens: u32,
-    /// From the send to the first part of the answer, once that came.
+    /// Time from sending the request to the first chunk of the response, once received.
     pub first_part: Option<Duration>,
-    /// Tokens that the first part brought.
+    /// Tokens in the first chunk.
     pub first_tokens: u32,
-    /// The call's number at the scheduler of its pool.
+    /// The call's registration at the pool scheduler.
     pub call: Option<ScheduledCall>,
-    /// Counts the request at the server until it is dropped.
+    /// Counts the request as in flight at the server.
     pub _in_flight: InFlight,
 }
 
 impl Opened {
-    /// Tells the scheduler of the pool what became of the call.
+    /// Reports the end of the call to the pool scheduler.
     pub(super) fn end_call(&mut self, end: CallEnd) {
         if let Some(call) = self.call.take() {
             call.end(end);
         }
     }
 
-    /// What an answer says of the engine that isn't a stream of its own: a failure of the server's or nothing.
+    /// How a response that is not a complete stream ends the call: as a server failure or without
+    /// information.
     pub(super) fn end_without_stream(&self) -> CallEnd {
         if self.head.status.is_server_error() {
             CallEnd::Failed
@@ -74,7 +75,7 @@
         }
     }
 
-    /// What a whole answer says of the engine.
+    /// How a complete response ends the call.
     fn end_of_answer(&self, generated: u32, took: Duration) -> CallEnd {
         if !self.head.status.is_success() {
             return self.end_without_stream();
@@ -88,32 +89,33 @@
     }
 }
 
-/// A time in whole milliseconds, for messages; the longest is 49 days.
+/// Whole milliseconds, saturating after 49 days.
 pub(super) fn milliseconds(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// When a request came, and when its time is over.
+/// Arrival time and deadline of a request.
 #[derive(Clone, Copy)]
 pub(super) struct CallTimes {
     pub arrived: Instant,
     pub deadline: Instant,
 }
 
-/// The service that a request goes to.
+/// The service that a request is sent to.
 pub(super) struct ChosenService {
     pub name: String,
-    /// Connections that each of its servers accepts from all gateways together.
+    /// Maximum number of connections to each server from all gateways together.
     pub connection_limit: u32,
-    /// Version of the routing table that says so.
+    /// Version of the routing table used.
     pub version: u64,
-    /// Who the request is made for, by the same table.
+    /// The caller, authenticated by the same table.
     pub caller: Caller,
-    /// Whether its servers are engines, whose calls one scheduler orders.
+    /// Whether the servers are engines whose calls a pool scheduler assigns.
     pub is_pool: bool,
 }
 
-/// What a server that saw the same thing lately need not read again; nothing if that's all the same.
+/// The prompt segments whose caching matters for server selection; empty if the route has no
+/// affinity.
 fn parts_of(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
     if !route.affinity {
         return Vec::new();
@@ -129,7 +131,7 @@
     part.into_iter().collect()
 }
 
-/// One request on its way.
+/// A request and its attempts at servers.
 pub(super) struct Attempts {
     pub core: Rc<GatewayCore>,
     pub call: CallEnvelope,
@@ -139,20 +141,19 @@
     pub deadline: Instant,
     /// Whether the service is a pool of engines.
     pub is_pool: bool,
-    /// What servers hold of the prompts of its program, as far as the records know.
+    /// Prompt segments cached by servers for the program, according to the record stores.
     pub held: Vec<CachedPrompt>,
-    /// What the server gets as the body.
+    /// The body sent to the server.
     pub body: Bytes,
-    /// The prompt, if it matters what a server saw before.
+    /// The prompt segments whose caching matters for server selection.
     pub parts: Vec<PromptPart>,
     pub log: CallLog,
-    /// Who the request is made for.
     pub caller: Caller,
-    /// Where it may be served, and what it says kept.
+    /// The regions in which the request may be served and its turn stored.
     pub homes: HomeRegions,
-    /// Whether the request begins a program.
+    /// Whether the request is the first of a program.
     pub standing: Standing,
-    /// What is held for it.
+    /// Memory held for the request.
     pub holding: Holding,
     permit: Option<Permit>,
     version: u64,
@@ -160,9 +161,9 @@
     pub sent_to: Vec<String>,
     pub passed_over: Vec<String>,
     pub repeats: usize,
-    /// A server that was granted, and not sent to since the permit had lapsed.
+    /// A selected server to which nothing was sent because the permit expired.
     pub kept: Option<Assigned>,
-    /// Whether a server that had the request broke off, whatever became of that server since.
+    /// Whether a server failed after it received the request, even if that server is gone by now.
     may_have_run: bool,
 }
 
@@ -212,7 +213,7 @@
         }
     }
 
-    /// Sends the request until a server answers it.
+    /// Sends the request until a server responds.
     pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<Opened, Refusal> {
         loop {
             if self.time_left() < LEAST_TIME {
@@ -232,7 +233,7 @@
             let inputs = self.choice_inputs(&chosen.id);
             let unread_tokens = inputs.unread_tokens;
             self.log.choice = inputs;
-            // One that was kept is counted already, and a probe noted.
+            // A reserved server is already counted as in flight.
             let in_flight = in_flight.unwrap_or_else(|| InFlight::begin(&self.core, &chosen.id));
             let upstream = match self.connect(&chosen).await {
                 Ok(upstream) => upstream,
@@ -242,7 +243,7 @@
                     continue;
                 }
             };
-            // Nothing is awaited between this check and the send.
+            // No await point between this check and the send.
             if let Err(refusal) = self.check_access() {
                 upstream.finish();
                 return Err(self.not_sent_again(refusal));
@@ -283,7 +284,8 @@
                     }
                 }
                 Err(error) => {
-                    // It may have run: the permit stays occupied, and another send needs another.
+                    // The request may have been executed, so its permit stays in use and a retry
+                    // needs another.
                     self.permit = None;
                     end_call(call, end_of_error(&error));
                     self.on_error(&chosen, &error)?;
@@ -292,7 +294,7 @@
         }
     }
 
-    /// Where its turn may be kept: anywhere if it isn't kept at all.
+    /// The regions in which the turn may be stored; any if it isn't stored.
     pub(super) fn kept_within(&self) -> &HomeRegions {
         if self.route.keeps_turns {
             &self.homes
@@ -307,13 +309,13 @@
         servers.choice_inputs(server, &self.parts, now)
     }
 
-    /// Whether the request may be sent again after a server had it.
+    /// Whether the request may be sent again after a server received it.
     pub(super) fn may_repeat(&self) -> bool {
         self.route.is_idempotent() && self.time_left() >= LEAST_TIME
     }
 
-    /// Lets the body go if no server can need it any more: an answer has begun, and the request may
-    /// not be sent again. A turn's own input stays if it is to be kept.
+    /// Frees the body once no attempt can need it: a response has begun and the request must not be
+    /// sent again. The input of a turn that is to be stored is kept.
     pub(super) fn release_body(&mut self) {
         if self.route.is_idempotent() {
             return;
@@ -325,8 +327,8 @@
         self.holding.set(HeldKind::Request, self.call.body.len());
     }
 
-    /// Notes that a server's answer is whole, with so many tokens generated. Returns what the server
-    /// holds of the prompt now.
+    /// Records a complete response with the given number of generated tokens. Returns the prompt
+    /// segments that the server now has cached.
     pub(super) fn note_finished(&self, opened: &mut Opened, generated: u32) -> CachedPrompt {
         let took = opened.sent_at.elapsed();
         let cached = self.note_read_prompt(opened, generated, took);
@@ -334,8 +336,8 @@
         cached
     }
 
-    /// Notes that a server has read the prompt and answered, as far as its own time goes. Returns what
-    /// it holds of the prompt now.
+    /// Records that a server has processed the call, without ending it at the pool scheduler.
+    /// Returns the prompt segments that the server now has cached.
     pub(super) fn note_read_prompt(
         &self,
         opened: &Opened,
@@ -350,21 +352,21 @@
         cached
     }
 
-    /// Tells of the end of an answer that is whole: the other gateways whether the server answered or
-    /// erred, and the scheduler of the pool, if nobody has.
+    /// Reports the outcome of a complete response to the other gateways and, if not yet done, the
+    /// end of the call to the pool scheduler.
     pub(super) fn note_answered(&self, opened: &mut Opened) {
         let report = Report::of_answer(opened.head.status);
         self.core.report(&opened.server, report);
         opened.end_call(opened.end_without_stream());
     }
 
-    /// Notes how long the whole answer of a plain call took, or how long it was waited for in vain.
+    /// Records the duration of a non-streaming response, or of a wait that timed out.
     pub(super) fn note_answer_time(&self, took: Duration) {
         let mut times = self.core.answer_times.borrow_mut();
         times.note(&self.route.name, took);
     }
 
-    /// Notes that the first part of a server's answer came.
+    /// Records the arrival of the first chunk of a response.
     pub(super) fn note_read(&mut self, opened: &mut Opened) {
         self.log.note_first_part();
         let now = self.core.clock.now();
@@ -395,19 +397,19 @@
         }
     }
 
-    /// Notes that a server which had the request broke off.
+    /// Records that a server failed after it received the request.
     pub(super) fn note_broken(&mut self, server: &str, error: &UpstreamError) {
         self.note_lost(server, error);
         self.core.report(server, Report::Failed);
     }
 
-    /// Notes that the rest of an answer doesn't come, for which the server isn't to blame.
+    /// Records that the response was truncated through no fault of the server.
     pub(super) fn note_lost(&mut self, server: &str, error: &UpstreamError) {
         self.may_have_run = true;
         self.log.note_error(server, error);
     }
 
-    /// Takes a permit for the next send, if the tenant's requests are limited.
+    /// Takes a permit for the next attempt, if the tenant has a quota.
     async fn take_permit(&mut self) -> Result<(), Refusal> {
         let Some(tenant) = self.caller.tenant() else {
             return Ok(());
@@ -431,7 +433,7 @@
         Ok(upstream)
     }
 
-    /// Whether the caller may still be served.
+    /// Checks that the caller is still authorized.
     fn check_access(&self) -> Result<(), Refusal> {
         let view = self.core.follower.view();
         let routing = view.routing.as_ref().ok_or(Refusal::NotStarted)?;
@@ -444,7 +446,7 @@
             .check_again(&self.caller, self.version, routing, proof_age)
     }
 
-    /// What the caller is told if the request may not be sent any more.
+    /// The refusal returned if no further attempt is made.
     pub(super) fn not_sent_again(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             Refusal::Broken
@@ -484,7 +486,8 @@
         Ok((head, upstream, sent_at))
     }
 
-    /// How long the server may be silent before another one gets the request; none if none may.
+    /// How long to wait for a response before another server is tried; `None` if the call can't be
+    /// retried.
     fn silence_borne(&self) -> Option<Duration> {
         let may_go_on = self.sent_to.len() < self.route.max_attempts as usize;
         let is_limited = self.core.policy.uses(Mechanism::SilenceLimit);
@@ -510,7 +513,7 @@
         request
     }
 
-    /// Whether the server says that the request did not run, so that another may have it.
+    /// Whether the server refused the call without executing it, so that another one may be tried.
     fn is_refused(&self, head: &ResponseHead, chosen: &Chosen) -> bool {
         let is_not_run = self.core.codec.read_answer(head).is_not_run
             || head.status == StatusCode::MISDIRECTED_REQUEST;
@@ -537,7 +540,7 @@
             UpstreamError::NotSent { .. } => {
                 self.log.note_error(&chosen.id, error);
                 self.core.report(&chosen.id, Report::Failed);
-                // Whoever can't be reached has ended or was cut off, and doesn't count any more.
+                // An unreachable server does not count as an attempt.
                 self.pass_over(&chosen.id);
                 Ok(())
             }
@@ -556,14 +559,14 @@
     }
 }
 
-/// Tells the scheduler of the pool what became of a call that has a number there.
+/// Reports the end of a call to the pool scheduler, if it is registered there.
 fn end_call(call: Option<ScheduledCall>, end: CallEnd) {
     if let Some(call) = call {
         call.end(end);
     }
 }
 
-/// What an error says of the engine.
+/// How an error ends a call at the pool scheduler.
 fn end_of_error(error: &UpstreamError) -> CallEnd {
     match error {
         UpstreamError::NotSent { .. } | UpstreamError::Broken { .. } | UpstreamError::Silent => {
--- a/crates/courseshed-edge/src/gateway/call_log.rs
+++ b/crates/courseshed-edge/src/gateway/call_log.rs
@@ -1,4 +1,4 @@
-//! The line that is written about a request once it is over, with what decided its way.
+//! The access log entry of a request, with the inputs of its routing decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,31 +12,32 @@
 use super::upstream::UpstreamError;
 use crate::metrics::{CallLabels, Metrics};
 
-/// The line that is written about a request once it is over.
+/// The access log entry of a request; written, together with the metrics, on drop.
 pub(super) struct CallLog {
     pub outcome: &'static str,
     pub server: String,
     pub attempts: usize,
     pub refused_by: usize,
-    /// Which servers refused it, each with its status: as many as may before the caller is told.
+    /// The servers that refused the request, as `server:status`.
     refusals: Vec<String>,
     pub events: u64,
     pub resumed: usize,
     pub status: u16,
-    /// How long the first part of the answer took since the request came, if it came.
+    /// Time from the arrival of the request to the first chunk of the response.
     first_part: Option<Duration>,
-    /// What was left of the program's time when the request came.
+    /// Time left to the program when the request arrived.
     program_left: Option<Duration>,
-    /// What decided the choice of the last server.
+    /// Inputs of the most recent server selection.
     pub choice: ChoiceInputs,
-    /// Who chose the last server: the scheduler of its pool, or this gateway; empty if none was chosen.
+    /// Who selected the last server, the pool scheduler or this gateway; empty if none was
+    /// selected.
     pub chosen_by: &'static str,
-    /// What decided the last verdict of the scheduler.
+    /// Inputs of the scheduler's last verdict.
     pub schedule: DecisionInputs,
-    /// Version of the routing table that the request was routed by.
+    /// Version of the routing table that routed the request.
     version: u64,
     last_error: String,
-    /// The tenant that it is made for; empty where calls need no key.
+    /// The authenticated tenant; empty if the fleet requires no keys.
     pub tenant: String,
     request: String,
     program: String,
@@ -81,18 +82,18 @@
         }
     }
 
-    /// Notes that the first part of an answer came.
+    /// Records the arrival of the first chunk of a response.
     pub(super) fn note_first_part(&mut self) {
         let now = self.began.elapsed();
         self.first_part.get_or_insert(now);
     }
 
-    /// Notes that a server refused the call without running it.
+    /// Records that a server refused the call without executing it.
     pub(super) fn note_refusal(&mut self, server: &str, status: u16) {
         self.refusals.push(format!("{server}:{status}"));
     }
 
-    /// Notes what became of a try at a server.
+    /// Records the error of an attempt at a server.
     pub(super) fn note_error(&mut self, server: &str, error: &UpstreamError) {
         self.last_error = format!("{server}: {error}");
     }
@@ -143,7 +144,7 @@
             program_left_ms = self.program_left.map(milliseconds),
             first_part_ms = self.first_part.map(milliseconds),
             took_ms = milliseconds(self.began.elapsed());
-            "a call is over"
+            "request finished"
         );
     }
 }
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -1,5 +1,5 @@
-//! Calls that are answered at once: the whole answer is read before the caller gets any of it, up to
-//! a bound. What is longer, or finds no memory, is passed on in pieces as the caller takes them.
+//! Forwards non-streaming calls. Responses are buffered up to a limit before they are sent to the
+//! client; longer ones, and those for which memory is short, are streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -21,13 +21,13 @@
 use super::upstream::UpstreamError;
 use crate::http::is_of_connection;
 
-/// Longest answer that is read whole, in bytes: far more than a tool or a model answers with, and
-/// small beside the memory of the smallest machine.
+/// Longest response that is buffered completely, in bytes.
 const WHOLE_ANSWER: usize = 1024 * 1024;
-/// What is handed to the caller's connection at a time, in bytes: what the library writes at once.
+/// Size of the chunks passed to the client's connection, in bytes; the HTTP library writes that
+/// much at once.
 const PIECE: usize = 8 * 1024;
 
-/// Passes a call on and answers it.
+/// Forwards a call and returns the response.
 pub(super) async fn forward(mut attempts: Attempts) -> Response<BoxBody> {
     loop {
         let mut opened = match attempts.open(None).await {
@@ -49,7 +49,7 @@
     }
 }
 
-/// Answers a caller with a refusal, and notes it.
+/// Responds with a refusal and records it in the access log.
 pub(super) fn refuse(mut attempts: Attempts, refusal: Refusal) -> Response<BoxBody> {
     attempts.log.outcome = refusal.as_str();
     let response = refusal.response();
@@ -57,31 +57,31 @@
     response
 }
 
-/// As much of an answer as is read before the caller gets any of it.
+/// The part of a response that was buffered before the client receives any of it.
 pub(super) enum AnswerRead {
-    /// All of it.
+    /// The complete body.
     Whole(Bytes),
-    /// Its beginning.
+    /// The beginning of the body.
     Begun(Bytes),
 }
 
 async fn read_body(opened: &mut Opened, attempts: &Attempts) -> Result<AnswerRead, UpstreamError> {
     let read = read_to_bound(opened, attempts).await?;
-    // An error of the server's own says nothing of how fast it serves calls.
+    // Server errors don't represent the latency of calls.
     if !opened.head.status.is_server_error() {
         let took = opened.sent_at.elapsed();
         attempts.core.report(&opened.server, Report::Paced(took));
         attempts.note_answer_time(took);
         match read {
             AnswerRead::Whole(_) => attempts.note_finished(opened, 0),
-            // The rest takes as long as the caller does, and the engine is occupied until then.
+            // The rest arrives at the client's pace, and the engine stays occupied until then.
             AnswerRead::Begun(_) => attempts.note_read_prompt(opened, 0, took),
         };
     }
     Ok(read)
 }
 
-/// Reads an answer, as far as it may be read before the caller gets any of it.
+/// Reads a response body up to the buffer limit.
 pub(super) async fn read_to_bound(
     opened: &mut Opened,
     attempts: &Attempts,
@@ -104,7 +104,7 @@
         .unwrap_or(Err(UpstreamError::TimedOut))
 }
 
-/// Answers a caller with what was read, and what follows it.
+/// Responds with the buffered part, followed by the rest of the body.
 pub(super) fn answer(
     mut attempts: Attempts,
     mut opened: Opened,
@@ -133,7 +133,7 @@
     }
 }
 
-/// An answer that was read whole, handed on as the caller's connection takes it.
+/// A completely buffered body, released in chunks as the client's connection accepts them.
 struct WholeAnswer {
     rest: Bytes,
     _holding: Holding,
@@ -156,12 +156,12 @@
     }
 }
 
-/// The rest of an answer doesn't come; its connection is closed so that it doesn't look whole.
+/// The response was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer was broken off"))]
+#[snafu(display("the response was truncated"))]
 struct BrokenOff;
 
-/// An answer of which the caller gets the beginning before its end is there.
+/// A response that is streamed to the client after its buffered beginning.
 struct Pieces {
     attempts: Attempts,
     opened: Opened,
@@ -189,8 +189,8 @@
         })
     }
 
-    /// Notes why the rest doesn't come. That the call's time is over may be the caller's doing, and says
-    /// nothing of the server.
+    /// Records why the rest of the response is missing. A passed deadline may be due to a slow
+    /// client and does not count against the server.
     fn note_end(&mut self, error: &UpstreamError) {
         let server = &self.opened.server;
         if matches!(error, UpstreamError::TimedOut) {
@@ -201,7 +201,8 @@
         self.opened.end_call(CallEnd::Broken);
     }
 
-    /// The next piece; nothing is read from the server before the one before was taken.
+    /// The next chunk. Reads from the server only after the client's connection accepted the
+    /// previous one.
     async fn next(&mut self) -> Result<Option<Bytes>, UpstreamError> {
         if !self.ready.is_empty() {
             let length = self.ready.len().min(PIECE);
@@ -216,7 +217,7 @@
     }
 }
 
-/// The head of the server's answer, as it goes to the caller.
+/// The head of the server's response, without hop-by-hop headers.
 pub(super) fn answer_head(head: &ResponseHead) -> Response<BoxBody> {
     let mut response = Response::new(head.status);
     for (name, value) in head.headers() {
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -1,4 +1,4 @@
-//! What a turn of a program needs before it is sent: its tokens set aside, and the turns before it.
+//! Prepares a turn of a program: reserves its tokens and loads the turns before it.
 
 use std::rc::Rc;
 
@@ -17,17 +17,18 @@
 use super::refusal::Refusal;
 use crate::records::{ChainLookup, RecordClient, RecordsUnavailable, Reservation, Settlement};
 
-/// How much longer than a route says its programs and turns are kept.
+/// Added to the retention of a route, for programs and turns.
 const RETENTION_MARGIN_MS: u64 = 15_000;
-/// How long a program without kept turns is remembered at least.
+/// Minimum retention of a program without stored turns.
 const LEAST_RETENTION_MS: u64 = 60_000;
 
-/// How long what belongs to a program of a route is kept, in milliseconds.
+/// Retention of the records of a program, in milliseconds.
 pub(super) fn keep_ms(route: &Route) -> u64 {
     route.retention_ms.max(LEAST_RETENTION_MS) + RETENTION_MARGIN_MS
 }
 
-/// The name under which the stores know a program: tenants may use the same names.
+/// The program's key in the record stores; qualified by the tenant, since tenants may use the same
+/// IDs.
 pub(super) fn program_key(tenant: Option<&str>, program: &str) -> String {
     tenant.map_or_else(
         || program.to_owned(),
@@ -35,7 +36,7 @@
     )
 }
 
-/// Tokens set aside for a turn. When it is dropped, what was not given is given back.
+/// Tokens reserved for a turn. Unused tokens are released on drop.
 pub(super) struct TokenReservation {
     records: RecordClient,
     program: String,
@@ -44,31 +45,31 @@
     keep_ms: u64,
     tokens_per_event: u64,
     events: u64,
-    /// Whether the program was given no tokens before.
+    /// Whether no tokens of the program had been used before.
     is_first: bool,
-    /// What the server that answered holds of the prompt now, for the program's next call.
+    /// Prompt segments that the server has cached after this turn, for the program's next call.
     cached: Option<CachedPrompt>,
-    /// What servers held of the program's prompts, as far as the stores know.
+    /// Prompt segments cached by servers for the program, according to the record stores.
     hints: Vec<CachedPrompt>,
 }
 
 impl TokenReservation {
-    /// Notes what the server that answered holds of the prompt now.
+    /// Sets the prompt segments that the server has cached after this turn.
     pub(super) fn note_cached(&mut self, cached: CachedPrompt) {
         self.cached = Some(cached);
     }
 
-    /// What servers held of the program's prompts, as far as the stores know.
+    /// Takes the prompt segments cached by servers for the program.
     pub(super) fn take_hints(&mut self) -> Vec<CachedPrompt> {
         std::mem::take(&mut self.hints)
     }
 
-    /// Whether the turn begins its program, as far as its tokens tell.
+    /// Whether this is the program's first turn, judging by its token use.
     pub(super) fn is_first(&self) -> bool {
         self.is_first
     }
 
-    /// Counts an event that the caller is given.
+    /// Counts an event forwarded to the client.
     pub(super) fn count_event(&mut self) {
         self.events += 1;
     }
@@ -90,7 +91,7 @@
     }
 }
 
-/// Sets the tokens of a turn aside; none if its program has no budget.
+/// Reserves the tokens of a turn; `None` if its program has no budget.
 pub(super) async fn reserve(
     core: &Rc<GatewayCore>,
     call: &CallEnvelope,
@@ -105,7 +106,7 @@
     let (Some(budget), Some(most)) = (claim.token_budget, call.most_tokens) else {
         return Ok(None);
     };
-    // Made before the stores are asked: whatever comes of it, it is settled in the end.
+    // Created before the stores are asked, so that the reservation is settled in every case.
     let mut held = TokenReservation {
         records: core.records.clone(),
         program: program_key(tenant, &claim.program),
@@ -137,14 +138,14 @@
             Ok(Some(held))
         }
         Ok((ReservationDecision::Spent { by_others }, _)) => {
-            log::info!(event = "budget_spent", request = call.request_id.as_str(), program = claim.program.as_str(), budget, by_others, most; "the turn does not fit into the program's budget");
+            log::info!(event = "budget_spent", request = call.request_id.as_str(), program = claim.program.as_str(), budget, by_others, most; "turn exceeds the token budget of its program");
             Err(Refusal::BudgetSpent)
         }
         Err(unavailable) => Err(refusal_for(unavailable)),
     }
 }
 
-/// Learns which servers hold prompts that other gateways' calls had read.
+/// Records which servers have prompts cached from calls of other gateways.
 fn note_hints(core: &GatewayCore, hints: &[CachedPrompt]) {
     let now = core.clock.now();
     let mut servers = core.servers.borrow_mut();
@@ -160,17 +161,17 @@
     }
 }
 
-/// What a server is to get.
+/// The body sent to a server.
 pub(super) struct ComposedBody {
-    /// All that the turn goes on from, and its new input.
+    /// The previous turns of the program, followed by the new input.
     pub body: Bytes,
-    /// Where the turn is to be kept.
+    /// The partition that stores the turn.
     pub partition: PartitionId,
-    /// What the server that made the turn before holds of the prompt, if that is known.
+    /// Prompt segments cached by the server of the previous turn, if known.
     pub hint: Option<CachedPrompt>,
 }
 
-/// Reads what a turn goes on from. Learns on the way which server made the turn before.
+/// Loads the turns that a request continues, and records which server generated the last one.
 pub(super) async fn compose_body(
     core: &Rc<GatewayCore>,
     call: &CallEnvelope,
@@ -179,7 +180,7 @@
     deadline: Instant,
     holding: &Holding,
 ) -> Result<ComposedBody, Refusal> {
-    // A kept turn of no program is kept with those of the program without a name.
+    // Turns without a program are stored under the empty program ID.
     let program = call.program.as_ref().map_or("", |claim| &claim.program);
     let program = program_key(tenant, program);
     let Some(previous) = &call.previous_turn else {
@@ -193,7 +194,7 @@
     let chain = match core.records.chain(&program, previous, deadline).await {
         Ok(ChainLookup::Kept(chain)) => chain,
         Ok(ChainLookup::Unknown) => {
-            log::info!(event = "unknown_turn", request = call.request_id.as_str(), previous = previous.as_str(); "the turn that it goes on from is not kept");
+            log::info!(event = "unknown_turn", request = call.request_id.as_str(), previous = previous.as_str(); "previous turn not found");
             return Err(Refusal::UnknownTurn);
         }
         Err(unavailable) => return Err(refusal_for(unavailable)),
@@ -205,7 +206,7 @@
     let chain = chain.turns;
     let is_own = chain.iter().all(|turn| turn.tenant.as_deref() == tenant);
     if !is_own {
-        log::warn!(event = "turn_of_another", request = call.request_id.as_str(), previous = previous.as_str(), tenant; "the turn that it goes on from is another tenant's");
+        log::warn!(event = "turn_of_another", request = call.request_id.as_str(), previous = previous.as_str(), tenant; "previous turn belongs to another tenant");
         return Err(Refusal::UnknownTurn);
     }
     let hint = chain.last().and_then(|turn| turn.cached.clone());
@@ -233,13 +234,13 @@
     })
 }
 
-/// The turn can't be kept where it may be kept, and so isn't begun.
+/// No partition is allowed to store the turn, so it is not started.
 fn no_home(call: &CallEnvelope) -> Refusal {
-    log::info!(event = "no_home", request = call.request_id.as_str(); "no partition has all its replicas in the regions where the turn may be kept");
+    log::info!(event = "no_home", request = call.request_id.as_str(); "no partition has all its replicas in the allowed regions");
     Refusal::NoRecords
 }
 
-/// The record of a turn that was answered whole.
+/// Builds the record of a completed turn.
 pub(super) fn turn_of(
     call: &CallEnvelope,
     tenant: Option<&str>,
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -1,8 +1,8 @@
-//! Calls that are answered by a series of events, passed on as they come.
+//! Forwards streaming calls, whose responses are server-sent events.
 //!
-//! Invariants: only whole events are passed on, each once and in order; a stream is taken up at
-//! another server only where its route allows it, and only after the connection to the one before
-//! was closed; the end of a kept turn is not shown before the turn is kept.
+//! Invariants: only complete events are forwarded, each once and in order; a stream is resumed at
+//! another server only if its route allows it and after the previous connection was closed; the end
+//! of a stored turn is forwarded only after the turn was stored.
 
 use std::time::Duration;
 
@@ -25,27 +25,26 @@
 use super::servers::Report;
 use super::upstream::UpstreamError;
 
-/// How long a resumable stream may be silent before it is taken up again.
+/// How long a resumable stream may be silent before it is resumed at another server.
 const SILENCE_BORNE: Duration = Duration::from_millis(1200);
-/// Largest event that is waited for, in bytes: many times what a model makes at once, and what its
-/// longest whole answer has.
+/// Maximum size of an event, in bytes.
 const LARGEST_EVENT: usize = 1024 * 1024;
-/// How long keeping a turn may take after its last event.
+/// Timeout for storing a turn after its last event.
 const KEEP_LIMIT: Duration = Duration::from_millis(2500);
 
-/// A caller that took nothing for so long holds the stream back: longer than a busy gateway is late, and shorter
-/// than servers wait for whoever doesn't read.
+/// Time without reading after which the client is considered stalled. Longer than delays of a busy
+/// gateway, shorter than the write timeout of servers.
 const HELD_BACK: Duration = Duration::from_secs(1);
-/// A read that takes so long shows that all that the server had sent before was read: many times the way between
-/// zones.
+/// Duration of a read that shows that the server's backlog has been read; much longer than the
+/// latency between zones.
 const CAUGHT_UP: Duration = Duration::from_millis(100);
 
-/// A stream can't be finished; its connection is closed so that it doesn't look whole.
+/// The stream was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the stream was broken off"))]
+#[snafu(display("the stream was truncated"))]
 struct BrokenOff;
 
-/// Passes a streaming call on.
+/// Forwards a streaming call.
 pub(super) async fn forward_stream(
     mut attempts: Attempts,
     tokens_per_event: u64,
@@ -112,7 +111,7 @@
             Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
             Ok(None) => None,
             Err(broken) => {
-                // Lets the events before it reach the caller, who then need not get them again.
+                // Lets preceding events reach the client, so that it need not request them again.
                 tokio::task::yield_now().await;
                 Some((Err(broken), None))
             }
@@ -121,7 +120,7 @@
     response.set_body(BoxBody::new(BodyStream::new(Box::pin(events))))
 }
 
-/// An answer of the server's own that is no stream, passed on as it is.
+/// Forwards a non-streaming response, such as an error.
 async fn whole(mut attempts: Attempts, mut opened: Opened) -> Response<BoxBody> {
     attempts.release_body();
     match read_to_bound(&mut opened, &attempts).await {
@@ -135,29 +134,29 @@
     }
 }
 
-/// A stream on its way from a server to a caller.
+/// A stream that is relayed from a server to a client.
 struct EventRelay {
     attempts: Attempts,
     opened: Option<Opened>,
     reservation: Option<TokenReservation>,
-    /// Where the turn is kept, if it is.
+    /// The partition that stores the turn.
     partition: PartitionId,
     splitter: EventSplitter,
     last_event: Option<u64>,
     output: BytesMut,
     is_first: bool,
     tokens_per_event: u64,
-    /// When the server that has the stream sent events last, and how many it has sent.
+    /// When the current server last sent events, and how many it has sent.
     last_arrival: Option<Instant>,
     events_here: u32,
-    /// When the caller's connection was given something last.
+    /// When data was last passed to the client's connection.
     given_at: Option<Instant>,
-    /// Whether what is read now may have waited at the server for the caller.
+    /// Whether the server may have been blocked by the slow client.
     is_held_back: bool,
 }
 
 impl EventRelay {
-    /// The next bytes for the caller: all whole events that are there. None at the end.
+    /// All complete events received, or `None` at the end of the stream.
     async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
         let taken_after = self.given_at.map(|given_at| given_at.elapsed());
         self.is_held_back |= taken_after.is_some_and(|time| time > HELD_BACK);
@@ -175,7 +174,7 @@
                 }
                 Ok(None) => {
                     let error = UpstreamError::Broken {
-                        reason: "the stream ends within an event".to_owned(),
+                        reason: "stream ended within an event".to_owned(),
                     };
                     self.take_up(&error).await?;
                 }
@@ -184,13 +183,13 @@
         }
     }
 
-    /// Takes bytes in. An event that never ends is not waited for.
+    /// Adds received bytes. Aborts the stream if an event exceeds the size limit.
     fn push(&mut self, chunk: &[u8]) -> Result<(), BrokenOff> {
         self.splitter.push(chunk);
         self.note_held();
         if self.splitter.partial() > LARGEST_EVENT {
             let error = UpstreamError::Broken {
-                reason: "an event is longer than is waited for".to_owned(),
+                reason: "event exceeds the size limit".to_owned(),
             };
             if let Some(mut opened) = self.opened.take() {
                 self.attempts.note_broken(&opened.server, &error);
@@ -208,7 +207,7 @@
         self.attempts.holding.set(HeldKind::Answer, held);
     }
 
-    /// Whole events that the caller lacks, with their bytes as they came.
+    /// The complete events that the client has not received, in their original bytes.
     fn take_events(&mut self) -> Bytes {
         let mut ready = BytesMut::new();
         let mut arrived = 0;
@@ -234,7 +233,7 @@
         ready.freeze()
     }
 
-    /// Notes how fast the server goes on.
+    /// Records the latency of events.
     fn note_arrived(&mut self, events: u32) {
         let Some(opened) = &mut self.opened else {
             return;
@@ -285,7 +284,7 @@
         Ok(chunk)
     }
 
-    /// Goes on behind the last event at a server, after the one before broke off.
+    /// Resumes the stream at another server after the last forwarded event.
     async fn take_up(&mut self, error: &UpstreamError) -> Result<(), BrokenOff> {
         self.splitter = EventSplitter::default();
         if let Some(mut opened) = self.opened.take() {
@@ -319,8 +318,8 @@
         }
     }
 
-    /// Whether a break is the server's fault, also one that is silent for too long within a stream: not if the
-    /// call's time is over, or if it may have cut off the stream because the caller didn't read.
+    /// Whether a failure, including a silent stream, counts against the server: not if the deadline
+    /// has passed, or if the server may have aborted because the client did not read.
     fn is_to_blame(&self) -> bool {
         !self.is_held_back && self.attempts.time_left() >= LEAST_TIME
     }
@@ -330,14 +329,14 @@
         Err(BrokenOff)
     }
 
-    /// Keeps the turn, if its route keeps turns, and gives the connection back.
+    /// Stores the turn if the route stores turns, and releases the connection.
     async fn finish(&mut self) -> Result<(), BrokenOff> {
         let mut cached = None;
         if let Some(mut opened) = self.opened.take() {
             let generated = u64::from(self.events_here) * self.tokens_per_event;
             let generated = u32::try_from(generated).unwrap_or(u32::MAX);
             let held = self.attempts.note_finished(&mut opened, generated);
-            // A kept turn brings the same hint.
+            // A stored turn carries the same hint.
             let is_kept = self.attempts.route.keeps_turns;
             if let Some(reservation) = self.reservation.as_mut().filter(|_| !is_kept) {
                 reservation.note_cached(held.clone());
@@ -371,7 +370,7 @@
     }
 }
 
-/// Passes a call on in the way of its route's kind.
+/// Forwards a call according to the kind of its route.
 pub(super) async fn forward_by_kind(
     attempts: Attempts,
     tokens_per_event: Option<u64>,
--- a/crates/courseshed-edge/src/gateway/upstream.rs
+++ b/crates/courseshed-edge/src/gateway/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: a pool of kept ones, and one request at a time on each.
+//! Connections to servers: a keep-alive pool, with one request at a time on each connection.
 //!
-//! Invariants: a request is written to one connection once; an answer whose id is another request's
-//! is read to its end and dropped; a connection on which anything is left over is not used again.
+//! Invariants: a request is written to a connection once; a response with the ID of another request
+//! is read to its end and dropped; a connection with unread data is not reused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,44 +23,43 @@
 
 use crate::sockets;
 
-/// How long a connection may take to come about.
+/// Timeout for establishing a connection.
 const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// How long a connection may rest if its server says nothing of it.
+/// Default keep-alive time if the server does not state one.
 const USUAL_REST: Duration = Duration::from_secs(4);
-/// How much earlier than its server a connection is given up.
+/// How much earlier than the server's keep-alive timeout a connection is dropped.
 const REST_MARGIN: Duration = Duration::from_millis(800);
-/// Connections kept for one server.
+/// Maximum number of idle connections per server.
 const KEPT_PER_SERVER: usize = 24;
-/// Longest body that a server's socket surely takes while the server reads nothing, in bytes: half of
-/// the smallest window that systems begin with. A longer one gets a fresh connection, which is known
-/// not to be silent, and may wait there for a server that reads slowly.
+/// Largest body that socket buffers accept even if the server does not read, in bytes. Larger
+/// bodies use a new connection, which is known to be alive and configured to tolerate servers that
+/// read slowly.
 const SURELY_TAKEN: usize = 32 * 1024;
-/// What is read from a server at a time, in bytes: many events of a stream, and little to hold for a
-/// caller that doesn't read.
+/// Read size, in bytes; small, to limit the memory held for clients that do not read.
 const READ_BYTES: usize = 8 * 1024;
-/// Largest head of an answer.
+/// Maximum size of a response head, in bytes.
 const MAX_ANSWER_HEAD: usize = 64 * 1024;
 
-/// Why no answer came.
+/// Why no response was received.
 #[derive(Debug, Snafu)]
 pub enum UpstreamError {
-    /// Nothing was sent.
-    #[snafu(display("can't connect: {source}"))]
+    /// The request was not sent.
+    #[snafu(display("failed to connect: {source}"))]
     NotSent {
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// It was sent, at least in part, and the answer did not come whole.
+    /// At least part of the request was sent, and the response was incomplete.
     #[snafu(display("{reason}"))]
     Broken {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// It was sent, and the server was silent for longer than answers take.
-    #[snafu(display("silent for longer than answers take"))]
+    /// The request was sent, and the server did not respond in the usual time.
+    #[snafu(display("no response within the usual response time"))]
     Silent,
-    /// It was sent, and the time was over.
-    #[snafu(display("the time is over"))]
+    /// The request was sent, and its deadline passed.
+    #[snafu(display("deadline exceeded"))]
     TimedOut,
 }
 
@@ -70,7 +69,7 @@
     }
 }
 
-/// Kept connections to servers, by address and life of the server.
+/// Idle connections, by server address; each is valid for one server instance.
 #[derive(Clone)]
 pub struct UpstreamPool {
     kept: Rc<RefCell<HashMap<SocketAddr, Vec<Kept>>>>,
@@ -84,7 +83,6 @@
 }
 
 impl UpstreamPool {
-    /// An empty pool.
     #[must_use]
     pub fn new() -> Self {
         Self {
@@ -93,7 +91,8 @@
         }
     }
 
-    /// A connection to a server for a body of so many bytes: a kept one that is still open, or a new one.
+    /// Returns an idle connection that is still open, or a new one. `body_bytes` is the size of the
+    /// request body.
     ///
     /// # Errors
     /// [`UpstreamError::NotSent`].
@@ -132,7 +131,8 @@
         })
     }
 
-    /// Closes the connections kept to servers that are not among those given, and those rested too long.
+    /// Closes idle connections to servers that are no longer listed, and those past their
+    /// keep-alive time.
     pub fn retain(&self, is_listed: impl Fn(&str) -> bool) {
         let now = Instant::now();
         let mut kept = self.kept.borrow_mut();
@@ -173,7 +173,7 @@
     }
 }
 
-/// Whether nothing waits to be read: no late answer, and no end.
+/// Whether the connection is open with nothing to read.
 fn is_quiet(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
@@ -190,7 +190,8 @@
     Ok(stream)
 }
 
-/// One connection with one request on it. Dropping it closes the connection, which cancels the request.
+/// A connection with a request in progress. Dropping it closes the connection, which cancels the
+/// request.
 pub struct Upstream {
     pool: UpstreamPool,
     server: String,
@@ -200,18 +201,19 @@
     payload: Option<ClientPayloadCodec>,
     ends_with_connection: bool,
     is_reusable: bool,
-    /// Whether it bears a server that reads slowly.
+    /// Whether the connection tolerates a server that reads slowly.
     is_patient: bool,
-    /// How long the connection took to come about, if it is new.
+    /// Connection setup time; `None` for a reused connection.
     connected_in: Option<Duration>,
     rest: Duration,
 }
 
 impl Upstream {
-    /// Sends a request and reads the head of its answer. `is_ours` tells answers of other requests.
+    /// Sends a request and reads the head of its response. `is_ours` recognizes responses to other
+    /// requests.
     ///
     /// # Errors
-    /// [`UpstreamError`]: the request may have run.
+    /// [`UpstreamError`]; the request may have been executed.
     pub async fn exchange(
         &mut self,
         request: impl Buf,
@@ -229,9 +231,11 @@
                 if is_ours(&head) {
                     return Ok(head);
                 }
-                log::warn!(event = "stray_answer", server = self.server.as_str(); "an answer of another request was dropped");
+                log::warn!(event = "stray_answer", server = self.server.as_str(); "dropped a response to another request");
                 if self.ends_with_connection {
-                    return Err(broken("the connection ends with another request's answer"));
+                    return Err(broken(
+                        "connection closed after a response to another request",
+                    ));
                 }
                 while self.next_chunk().await?.is_some() {}
             }
@@ -241,7 +245,8 @@
             .unwrap_or(Err(UpstreamError::TimedOut))
     }
 
-    /// Writes the request while watching for an early answer; false if one came before all was written.
+    /// Writes the request while watching for an early response. Returns false if one arrived before
+    /// the request was written completely.
     async fn send_until_answered(&mut self, mut request: impl Buf) -> Result<bool, UpstreamError> {
         let (mut reader, mut writer) = self.stream.split();
         let write = writer.write_all_buf(&mut request);
@@ -255,7 +260,7 @@
             }
             read = reader.read_buf(&mut early) => {
                 if read.map_err(broken)? == 0 {
-                    return Err(broken("closed before the request was sent"));
+                    return Err(broken("connection closed before the request was sent"));
                 }
                 self.buffer = early;
                 Ok(false)
@@ -272,10 +277,10 @@
                 return Ok(head);
             }
             if self.buffer.len() > MAX_ANSWER_HEAD {
-                return Err(broken("the head of the answer is too large"));
+                return Err(broken("response head too large"));
             }
             if self.fill().await? == 0 {
-                return Err(broken("closed without an answer"));
+                return Err(broken("connection closed without a response"));
             }
         }
     }
@@ -294,10 +299,10 @@
         };
     }
 
-    /// The next bytes of the body; none once it is whole.
+    /// The next bytes of the body; `None` at its end.
     ///
     /// # Errors
-    /// [`UpstreamError::Broken`] when the connection ends before the body does.
+    /// [`UpstreamError::Broken`] if the connection closes before the end of the body.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, UpstreamError> {
         loop {
             let Some(payload) = &mut self.payload else {
@@ -314,7 +319,7 @@
             }
             if self.fill().await? == 0 {
                 if !self.ends_with_connection {
-                    return Err(broken("closed in the middle of the answer"));
+                    return Err(broken("connection closed within the response body"));
                 }
                 self.payload = None;
                 return Ok(None);
@@ -322,25 +327,25 @@
         }
     }
 
-    /// How long the connection took to come about; none for one that was kept.
+    /// Connection setup time; `None` for a reused connection.
     #[must_use]
     pub fn connected_in(&self) -> Option<Duration> {
         self.connected_in
     }
 
-    /// Bytes that were read from the server and not yet given on.
+    /// Capacity of the read buffer, in bytes.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffer.capacity()
     }
 
-    /// Gives the connection back, if its answer was whole and nothing is left over.
+    /// Returns the connection to the pool if the response was complete and nothing is left to read.
     pub fn finish(self) {
         if self.is_reusable && self.payload.is_none() && self.buffer.is_empty() {
             if self.is_patient
                 && let Err(error) = sockets::prepare(&self.stream)
             {
-                log::info!(event = "not_kept", server = self.server.as_str(); "a connection can't be kept: {error}");
+                log::info!(event = "not_kept", server = self.server.as_str(); "connection not returned to the pool: {error}");
                 return;
             }
             self.pool
@@ -354,7 +359,7 @@
     }
 }
 
-/// How long the server lets a connection rest, less a margin.
+/// The server's keep-alive timeout, less a margin.
 fn rest_of(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers().get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| {
