--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share. Everything runs on one thread.
+//! State shared by all requests of a gateway. The gateway is single-threaded.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -27,41 +27,40 @@
 use crate::metrics::Metrics;
 use crate::records::RecordClient;
 
-/// What all requests of a gateway share.
+/// State shared by all requests of a gateway.
 pub(super) struct GatewayCore {
     pub codec: Box<dyn CallCodec>,
     pub follower: Arc<FleetFollower>,
     pub records: RecordClient,
-    /// Asks the schedulers of pools for engines.
+    /// Requests engine assignments from the pool schedulers.
     pub schedulers: Rc<SchedulerClient>,
     pub pool: UpstreamPool,
     pub metrics: Arc<Metrics>,
-    /// What it decides by.
     pub policy: Policy,
-    /// How long keys may be used without hearing that they still are.
+    /// How long keys stay usable without fresh proof that the routing table is current.
     pub access: AccessTerms,
-    /// Permits of tenants whose requests are limited.
+    /// Rate-limit permits of tenants with a quota.
     pub quotas: Quotas,
     pub clock: Clock,
-    /// What is held for callers.
+    /// Memory held for client connections.
     pub ledger: Rc<Ledger>,
     pub servers: RefCell<ServerTable>,
     pub answer_times: RefCell<AnswerTimes>,
-    /// Where this gateway stands.
+    /// The zone of this gateway.
     pub zone: String,
-    /// When a planned stop ends the process; none while it isn't stopping.
+    /// When a graceful shutdown terminates the process; `None` while not shutting down.
     pub ends_at: Cell<Option<Instant>>,
     pub under_way: Cell<usize>,
     splits: RefCell<HashMap<String, RouteSplit>>,
 }
 
-/// The turns of one route among its parts, as long as the parts stay the same.
+/// Weighted round-robin state of one route; reset when the targets of the route change.
 struct RouteSplit {
     targets: Vec<Target>,
     counter: SplitCounter,
 }
 
-/// What a gateway is made of.
+/// The components that [`GatewayCore::new`] assembles.
 pub(super) struct CoreParts {
     pub codec: Box<dyn CallCodec>,
     pub follower: Arc<FleetFollower>,
@@ -69,11 +68,11 @@
     pub schedulers: Rc<SchedulerClient>,
     pub metrics: Arc<Metrics>,
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
     pub policy: Policy,
     pub tenants: TenantTerms,
-    /// How much it may hold for callers and servers that read slowly.
+    /// Memory limits for slow clients and servers.
     pub memory: HeldTerms,
 }
 
@@ -117,17 +116,17 @@
         })
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub(super) fn is_draining(&self) -> bool {
         self.ends_at.get().is_some()
     }
 
-    /// Whether the process is still there at a time.
+    /// Whether the process will still be running at `time`.
     pub(super) fn is_there_at(&self, time: Instant) -> bool {
         self.ends_at.get().is_none_or(|end| time <= end)
     }
 
-    /// The service that the next call of a route goes to.
+    /// Picks the service for the next call of a route.
     pub(super) fn split(&self, route: &Route) -> Option<String> {
         if let [only] = route.targets.as_slice() {
             return Some(only.service.clone());
@@ -143,7 +142,7 @@
         Some(route.targets[index].service.clone())
     }
 
-    /// Forgets what is known of routes that are gone.
+    /// Drops the state of routes that no longer exist.
     pub(super) fn retain_routes(&self, table: &RoutingTable) {
         let is_there = |name: &str| table.routes.iter().any(|route| route.name == name);
         self.splits.borrow_mut().retain(|name, _| is_there(name));
@@ -158,20 +157,21 @@
         self.tell_changes(&mut servers);
     }
 
-    /// Judges anew which servers are avoided.
+    /// Re-evaluates which servers are avoided.
     pub(super) fn advance_outcomes(&self) {
         let mut servers = self.servers.borrow_mut();
         servers.advance_outcomes(self.clock.now());
         self.tell_changes(&mut servers);
     }
 
-    /// Judges anew, and counts the avoided servers: some may have left the list.
+    /// Re-evaluates which servers are avoided and refreshes the metric, since servers may have been
+    /// delisted.
     pub(super) fn tell_avoided(&self) {
         self.advance_outcomes();
         self.metrics.set_avoided(&self.servers.borrow().avoided());
     }
 
-    /// Logs which servers begin and cease to be avoided, and counts them.
+    /// Logs servers that start or stop being avoided, and updates the metric.
     fn tell_changes(&self, servers: &mut ServerTable) {
         let changes = servers.take_changes();
         if changes.is_empty() {
@@ -188,7 +188,7 @@
     let event = match change.change {
         AvoidanceChange::Begun => "server_avoided",
         AvoidanceChange::Ended => "server_trusted_again",
-        // Probes fail again and again while a server is down: its begin and its end are enough.
+        // Probes keep failing while a server is down; only the start and the end are logged.
         AvoidanceChange::Prolonged => return,
     };
     log::info!(
@@ -198,7 +198,7 @@
         answered = change.counts.answered,
         failed = change.counts.failed,
         others_age_ms = change.counts_age.as_millis() as u64;
-        "whether a server is avoided has changed"
+        "server avoidance changed"
     );
 }
 
@@ -211,7 +211,7 @@
     }
 }
 
-/// Counts a request at a server for as long as it lives.
+/// Counts a request as in flight at a server until dropped.
 pub(super) struct InFlight {
     core: Rc<GatewayCore>,
     server: String,
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! A gateway's listeners, its readiness, and its planned stop.
+//! The listeners, the readiness endpoint and the graceful shutdown of a gateway.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -32,57 +32,58 @@
 use crate::protocol::{FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerRequest};
 use crate::records::RecordClient;
 
-/// How long a gateway that stops still takes new connections: until all have seen that it isn't ready.
+/// How long a draining gateway accepts new connections, so that load balancers can observe that it
+/// is not ready.
 const LEAVING_TIME: Duration = Duration::from_millis(3200);
 const STOP_CHECK: Duration = Duration::from_millis(50);
-/// How long a request that comes before the first routing table waits for it at most.
+/// Maximum time that a request waits for the first routing table.
 const START_WAIT: Duration = Duration::from_millis(300);
-/// How often kept connections and what is known of servers are looked through.
+/// Interval of the cleanup of idle connections and server statistics.
 const TIDY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How a gateway runs.
+/// Settings of a gateway.
 pub struct GatewaySettings {
-    /// The machine.
+    /// The node that the gateway runs on.
     pub node: NodeId,
-    /// Where it stands.
+    /// The zone of the node.
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// Where callers connect.
+    /// Listen address for clients.
     pub callers: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Listen address of the readiness endpoint.
     pub readiness: SocketAddr,
-    /// Machines with controllers.
+    /// Nodes that run controllers.
     pub seeds: Box<dyn Fn() -> Vec<NodeId> + Send + Sync>,
-    /// Where peers listen.
+    /// Addresses of peers.
     pub addresses: PeerAddresses,
-    /// Where what happens is counted.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// The words of callers and servers.
+    /// Codec for the wire format of clients and servers.
     pub codec: Box<dyn CallCodec>,
-    /// The mechanisms that it decides by.
+    /// The enabled mechanisms.
     pub policy: Policy,
-    /// What is asked of it where callers are tenants.
+    /// Key revocation and quota settings.
     pub tenants: TenantTerms,
-    /// How much it may hold for callers and servers that read slowly.
+    /// Memory limits for slow clients and servers.
     pub memory: HeldTerms,
 }
 
-/// A gateway doesn't start.
+/// Why a gateway failed to start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// It can't speak to its peers.
+    /// The peer transport failed to start.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why not.
+        /// The cause.
         source: PeersError,
     },
-    /// An address can't be listened on.
+    /// An address could not be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
 }
@@ -94,10 +95,10 @@
     fn on_request(&self, _: PeerIdentity, _: PeerRequest, _: ReplySender<FleetProtocol>) {}
 }
 
-/// Runs a gateway until `stop` comes and what was under way is finished, within `grace`.
+/// Runs a gateway until `stop` completes and in-flight requests have finished, within `grace`.
 ///
 /// # Errors
-/// [`GatewayError`] when an address can't be listened on.
+/// [`GatewayError`] if an address can't be bound or the peer transport can't start.
 pub async fn run(
     settings: GatewaySettings,
     stop: impl Future<Output = ()>,
@@ -166,7 +167,7 @@
     Ok(())
 }
 
-/// Takes changes of the fleet in as they come.
+/// Applies changes of the fleet state until the follower ends.
 async fn follow_fleet(core: Rc<GatewayCore>) {
     let mut watch = core.follower.watch();
     loop {
@@ -208,8 +209,8 @@
     .await;
 }
 
-/// Whether new callers are served well here: not while it stops, and not while it can't prove that
-/// the keys that it knows may still be used.
+/// Whether the gateway should receive new clients: it has a routing table, is not draining and can
+/// verify API keys.
 fn is_ready(core: &GatewayCore) -> bool {
     let Some(routing) = core.follower.view().routing else {
         return false;
@@ -255,7 +256,7 @@
     response.map_body(|_, body| BoxBody::new(counted.hold(body)))
 }
 
-/// Reads a request and finds its route.
+/// Decodes and authenticates a request and selects its route and service.
 async fn admit(
     core: &Rc<GatewayCore>,
     request: Request,
@@ -271,7 +272,7 @@
         .ok_or(Refusal::NotStarted)?;
     let route = routing.table.find(&call.host, &call.path);
     let Some(route) = route.cloned() else {
-        log::info!(event = "no_route", request = call.request_id.as_str(), host = call.host.as_str(), path = call.path.as_str(), version = routing.version; "no route fits");
+        log::info!(event = "no_route", request = call.request_id.as_str(), host = call.host.as_str(), path = call.path.as_str(), version = routing.version; "no route matches the request");
         return Err(Refusal::NoRoute);
     };
     wait_for_proof(core, &routing, wait).await;
@@ -291,7 +292,7 @@
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadline = arrived + call.time_left.map_or(timeout, |left| left.min(timeout));
     if !core.is_there_at(deadline) {
-        log::info!(event = "leaving", request = call.request_id.as_str(); "the gateway ends before the call would");
+        log::info!(event = "leaving", request = call.request_id.as_str(); "request rejected: the gateway shuts down before its deadline");
         return Err(Refusal::Leaving);
     }
     let attempts = Attempts::new(
@@ -305,8 +306,8 @@
     Ok((attempts, tokens_per_event))
 }
 
-/// Gives a gateway that was frozen, or has just started, time to hear that its table is the newest:
-/// one round between zones, if there is a leader.
+/// Waits briefly for fresh proof that the routing table is current, which a gateway lacks after a
+/// start or a long pause.
 async fn wait_for_proof(core: &GatewayCore, routing: &VersionedTable, wait: Duration) {
     let is_proven = core.access.is_proven(core.follower.proof_age());
     if routing.table.tenants.is_some() && !is_proven {
@@ -314,7 +315,7 @@
     }
 }
 
-/// Who a call is made for, by the table that its route is of.
+/// Authenticates a call against the routing table that its route comes from.
 fn identify(
     core: &GatewayCore,
     call: &CallEnvelope,
@@ -333,11 +334,11 @@
     });
     identified.inspect_err(|refusal| {
         let shows_key = matches!(call.credential, Credential::Key(_));
-        log::info!(event = "not_let_in", request = call.request_id.as_str(), route = route.name.as_str(), outcome = refusal.as_str(), shows_key, version = routing.version, proof_age_ms = proof_age.map(|age| age.as_millis() as u64); "the caller's key doesn't let it in");
+        log::info!(event = "not_let_in", request = call.request_id.as_str(), route = route.name.as_str(), outcome = refusal.as_str(), shows_key, version = routing.version, proof_age_ms = proof_age.map(|age| age.as_millis() as u64); "request rejected: the client's key could not be authenticated");
     })
 }
 
-/// The routing table in force. A gateway that has just started waits a little for its first one.
+/// The current routing table. Waits up to `wait` for the first one.
 async fn routing_in_force(core: &GatewayCore, wait: Duration) -> Option<Arc<VersionedTable>> {
     if let Some(routing) = core.follower.view().routing {
         return Some(routing);
@@ -369,7 +370,7 @@
         return Err(Refusal::HeadTooLarge);
     }
     let mut call = read.map_err(|error| {
-        log::info!(event = "unreadable_call"; "{error}");
+        log::info!(event = "unreadable_call"; "request could not be decoded: {error}");
         Refusal::Unreadable
     })?;
     call.body = body;
@@ -385,7 +386,7 @@
     }
 }
 
-/// Counts a request for as long as its answer isn't finished.
+/// Counts a request as in flight until its response body is dropped.
 struct UnderWay(Rc<GatewayCore>);
 
 impl UnderWay {
@@ -403,7 +404,7 @@
     }
 }
 
-/// A body that keeps its request counted.
+/// A response body that keeps its request counted as in flight.
 struct HeldBody {
     body: BoxBody,
     _counted: UnderWay,
@@ -424,11 +425,11 @@
     }
 }
 
-/// Says that it isn't ready, goes on until all have seen it, and finishes what is under way.
+/// Reports not ready, keeps serving for the drain period and waits for in-flight requests.
 async fn drain(core: &Rc<GatewayCore>, grace: Duration) {
     let began = Instant::now();
     core.ends_at.set(Some(began + grace));
-    log::info!(event = "draining", under_way = core.under_way.get(); "the gateway stops taking new callers");
+    log::info!(event = "draining", under_way = core.under_way.get(); "shutting down: draining requests");
     loop {
         let passed = began.elapsed();
         let is_done = passed >= LEAVING_TIME && core.under_way.get() == 0;
@@ -437,5 +438,5 @@
         }
         sleep(STOP_CHECK).await;
     }
-    log::info!(event = "drained", under_way = core.under_way.get(); "the gateway ends");
+    log::info!(event = "drained", under_way = core.under_way.get(); "drain finished");
 }
