--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -25,8 +25,8 @@
 use super::choice::ChoiceInputs;
 use super::chosen::Chosen;
 use super::core::{GatewayCore, InFlight};
-use super::held::Holding;
-use super::held_memory::HeldKind;
+use super::memory_budget::BufferKind;
+use super::memory_tracker::RequestMemory;
 use super::policy::Mechanism;
 use super::quota::{Permit, Quotas};
 use super::refusal::Refusal;
@@ -154,7 +154,7 @@
     /// Whether the request is the first of a program.
     pub standing: Standing,
     /// Memory held for the request.
-    pub holding: Holding,
+    pub memory: RequestMemory,
     permit: Option<Permit>,
     version: u64,
     pub connection_limit: u32,
@@ -174,7 +174,7 @@
         route: Arc<Route>,
         service: ChosenService,
         times: CallTimes,
-        holding: Holding,
+        memory: RequestMemory,
     ) -> Self {
         let CallTimes { arrived, deadline } = times;
         let ChosenService {
@@ -192,7 +192,7 @@
             homes: HomeRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
             standing: Standing::UnderWay,
-            holding,
+            memory,
             permit: None,
             version,
             connection_limit,
@@ -324,7 +324,7 @@
         if !self.route.keeps_turns {
             self.call.body = Bytes::new();
         }
-        self.holding.set(HeldKind::Request, self.call.body.len());
+        self.memory.set(BufferKind::Request, self.call.body.len());
     }
 
     /// Records a complete response with the given number of generated tokens. Returns the prompt
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -14,8 +14,8 @@
 use super::access::{AccessTerms, TenantTerms};
 use super::answer_times::AnswerTimes;
 use super::call::CallCodec;
-use super::held::Ledger;
-use super::held_memory::HeldTerms;
+use super::memory_budget::HeldTerms;
+use super::memory_tracker::MemoryTracker;
 use super::outcome_change::OutcomeChange;
 use super::policy::Policy;
 use super::quota::Quotas;
@@ -43,7 +43,7 @@
     pub quotas: Quotas,
     pub clock: Clock,
     /// Memory held for client connections.
-    pub ledger: Rc<Ledger>,
+    pub memory_tracker: Rc<MemoryTracker>,
     pub servers: RefCell<ServerTable>,
     pub answer_times: RefCell<AnswerTimes>,
     /// The zone of this gateway.
@@ -97,7 +97,7 @@
             records,
             schedulers,
             pool: UpstreamPool::new(),
-            ledger: Ledger::new(memory, metrics.clone()),
+            memory_tracker: MemoryTracker::new(memory, metrics.clone()),
             metrics,
             clock: Clock::start(),
             servers: RefCell::new(
--- a/crates/courseshed-edge/src/gateway/held_memory.rs
+++ b/crates/courseshed-edge/src/gateway/memory_budget.rs
@@ -10,22 +10,22 @@
 use std::time::Duration;
 
 /// Memory of an idle gateway, in bytes: code, tables, peer connections and allocator overhead.
-const BASE_BYTES: u64 = 24_000_000;
+const BASELINE_BYTES: u64 = 24_000_000;
 /// Minimum memory budget for clients, in bytes, regardless of machine size.
-const LEAST_BYTES: u64 = 16 * 1024 * 1024;
+const MIN_BUDGET_BYTES: u64 = 16 * 1024 * 1024;
 /// Memory of a connection with a stream that its client keeps up with, in bytes, excluding data
 /// read from the server: library buffers and tasks. See `docs/design/slow-readers.md`.
 const CONNECTION_BYTES: usize = 36 * 1024;
 /// How long a client may accept no data before it is disconnected. Exceeds the pauses of live
 /// clients, which themselves give up after a few seconds.
-const READ_STALL: Duration = Duration::from_secs(10);
+const STALL_LIMIT: Duration = Duration::from_secs(10);
 
 /// Fraction of the admission limit above which memory is under pressure. The rest is for bodies
 /// that arrive between two polls of the connections.
-const PRESSED_PART: usize = 7;
-const PRESSED_OF: usize = 8;
+const PRESSURE_NUMERATOR: usize = 7;
+const PRESSURE_DENOMINATOR: usize = 8;
 /// Stall limit under memory pressure; longer than impatient clients wait before they disconnect.
-const PRESSED_STALL: Duration = Duration::from_secs(3);
+const PRESSURE_STALL_LIMIT: Duration = Duration::from_secs(3);
 
 /// Memory limits of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -49,45 +49,45 @@
     /// eighth is not available to new bodies.
     #[must_use]
     pub fn of_machine(memory_bytes: u64) -> Self {
-        let total = (memory_bytes.saturating_sub(BASE_BYTES) / 8 * 7).max(LEAST_BYTES);
+        let total = (memory_bytes.saturating_sub(BASELINE_BYTES) / 8 * 7).max(MIN_BUDGET_BYTES);
         let total_bytes = usize::try_from(total).unwrap_or(usize::MAX);
         Self {
             total_bytes,
             connection_bytes: CONNECTION_BYTES,
             admission_bytes: total_bytes / 8 * 7,
-            read_stall: READ_STALL,
-            pressed_stall: PRESSED_STALL,
+            read_stall: STALL_LIMIT,
+            pressed_stall: PRESSURE_STALL_LIMIT,
         }
     }
 }
 
 /// The kind of data in a buffer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum HeldKind {
+pub enum BufferKind {
     /// A request body, until no attempt can need it any more.
     Request,
     /// Response data read from the server and not yet passed to the client's connection.
-    Answer,
+    Response,
     /// Response data passed to the client's connection that its socket has not accepted.
-    Unread,
+    Unsent,
 }
 
-const KINDS: usize = 3;
+const BUFFER_KINDS: usize = 3;
 
 /// ID of a client connection in the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct HeldId(u64);
+pub struct ConnectionId(u64);
 
 /// Why a client is disconnected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum CutReason {
+pub enum DisconnectReason {
     /// The budget is exhausted or under pressure.
     Memory,
     /// The client accepted no data for the stall limit.
     Stall,
 }
 
-impl CutReason {
+impl DisconnectReason {
     /// The name used in logs and metrics.
     #[must_use]
     pub fn as_str(self) -> &'static str {
@@ -100,69 +100,69 @@
 
 /// A client to disconnect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct CutOff {
+pub struct Disconnect {
     /// The connection.
-    pub id: HeldId,
+    pub id: ConnectionId,
     /// Why it is disconnected.
-    pub reason: CutReason,
+    pub reason: DisconnectReason,
     /// Bytes held for it.
     pub held_bytes: usize,
     /// How long it has accepted no data.
-    pub unread_for: Duration,
+    pub stalled_for: Duration,
 }
 
 #[derive(Debug, Default)]
-struct Held {
-    bytes: [usize; KINDS],
-    unread_since: Option<Duration>,
-    is_cut: bool,
+struct ConnectionUsage {
+    bytes: [usize; BUFFER_KINDS],
+    stalled_since: Option<Duration>,
+    is_disconnecting: bool,
 }
 
-impl Held {
+impl ConnectionUsage {
     fn total(&self) -> usize {
         self.bytes.iter().sum()
     }
 
-    fn unread_for(&self, now: Duration) -> Option<Duration> {
-        let since = self.unread_since.filter(|_| !self.is_cut)?;
+    fn stalled_for(&self, now: Duration) -> Option<Duration> {
+        let since = self.stalled_since.filter(|_| !self.is_disconnecting)?;
         Some(now.saturating_sub(since))
     }
 }
 
 /// The bytes held for each client connection. Times are those of the process's monotonic clock.
 #[derive(Debug)]
-pub struct HeldMemory {
+pub struct MemoryBudget {
     terms: HeldTerms,
-    callers: BTreeMap<HeldId, Held>,
+    connections: BTreeMap<ConnectionId, ConnectionUsage>,
     next: u64,
     total: usize,
 }
 
-impl HeldMemory {
+impl MemoryBudget {
     /// Creates an empty budget.
     #[must_use]
     pub fn new(terms: HeldTerms) -> Self {
         Self {
             terms,
-            callers: BTreeMap::new(),
+            connections: BTreeMap::new(),
             next: 0,
             total: 0,
         }
     }
 
     /// Adds a client connection.
-    pub fn begin(&mut self) -> HeldId {
-        let id = HeldId(self.next);
+    pub fn begin(&mut self) -> ConnectionId {
+        let id = ConnectionId(self.next);
         self.next += 1;
-        self.callers.insert(id, Held::default());
+        self.connections.insert(id, ConnectionUsage::default());
         self.total += self.terms.connection_bytes;
         id
     }
 
     /// Removes a connection and releases its bytes.
-    pub fn end(&mut self, id: HeldId) {
-        if let Some(held) = self.callers.remove(&id) {
-            self.total -= held.total() + self.terms.connection_bytes;
+    pub fn end(&mut self, id: ConnectionId) {
+        if let Some(usage) = self.connections.remove(&id) {
+            self.total -= usage.total() + self.terms.connection_bytes;
         }
     }
 
@@ -185,82 +185,91 @@
     }
 
     /// Sets the number of bytes that a connection holds in buffers of a kind.
-    pub fn set(&mut self, id: HeldId, kind: HeldKind, bytes: usize) {
-        if let Some(held) = self.callers.get_mut(&id) {
-            let before = std::mem::replace(&mut held.bytes[kind as usize], bytes);
+    pub fn set(&mut self, id: ConnectionId, kind: BufferKind, bytes: usize) {
+        if let Some(usage) = self.connections.get_mut(&id) {
+            let before = std::mem::replace(&mut usage.bytes[kind as usize], bytes);
             self.total = self.total - before + bytes;
         }
     }
 
     /// Sets the unsent bytes of a connection, and since when it has accepted no data.
-    pub fn note_unread(&mut self, id: HeldId, bytes: usize, since: Option<Duration>) {
-        self.set(id, HeldKind::Unread, bytes);
-        if let Some(held) = self.callers.get_mut(&id) {
-            held.unread_since = since;
+    pub fn set_unsent(&mut self, id: ConnectionId, bytes: usize, since: Option<Duration>) {
+        self.set(id, BufferKind::Unsent, bytes);
+        if let Some(usage) = self.connections.get_mut(&id) {
+            usage.stalled_since = since;
         }
     }
 
     /// Selects the connections to disconnect, each once. Their bytes count until they have closed.
-    pub fn cut_offs(&mut self, now: Duration) -> Vec<CutOff> {
-        let mut cut = self.stalled(now);
+    pub fn select_disconnects(&mut self, now: Duration) -> Vec<Disconnect> {
+        let mut selected = self.stalled(now);
         let fixed = self.terms.connection_bytes;
-        let leaving = |callers: &BTreeMap<HeldId, Held>| -> usize {
-            let cut = callers.values().filter(|held| held.is_cut);
-            cut.map(|held| held.total() + fixed).sum()
+        let disconnecting_bytes = |connections: &BTreeMap<ConnectionId, ConnectionUsage>| -> usize {
+            let disconnecting = connections.values().filter(|usage| usage.is_disconnecting);
+            disconnecting.map(|usage| usage.total() + fixed).sum()
         };
-        let mut left = self.total - leaving(&self.callers);
-        while let Some(least) = self.stall_borne(left) {
-            let Some(worst) = self.worst(now, least) else {
+        let mut remaining = self.total - disconnecting_bytes(&self.connections);
+        while let Some(least) = self.stall_limit(remaining) {
+            let Some(worst) = self.largest_stalled(now, least) else {
                 break;
             };
-            left = left.saturating_sub(worst.held_bytes);
-            self.mark(&worst);
-            cut.push(worst);
+            remaining = remaining.saturating_sub(worst.held_bytes);
+            self.mark_disconnecting(&worst);
+            selected.push(worst);
         }
-        cut
+        selected
     }
 
-    fn stalled(&mut self, now: Duration) -> Vec<CutOff> {
+    fn stalled(&mut self, now: Duration) -> Vec<Disconnect> {
         let limit = self.terms.read_stall;
-        let waiting = self.waiting(now, CutReason::Stall);
-        let stalled: Vec<_> = waiting.filter(|cut| cut.unread_for >= limit).collect();
-        for cut in &stalled {
-            self.mark(cut);
+        let connections = self.stalled_connections(now, DisconnectReason::Stall);
+        let stalled: Vec<_> = connections
+            .filter(|disconnect| disconnect.stalled_for >= limit)
+            .collect();
+        for disconnect in &stalled {
+            self.mark_disconnecting(disconnect);
         }
         stalled
     }
 
     /// The minimum stall for which a client is disconnected at this usage; `None` without memory
     /// pressure.
-    fn stall_borne(&self, held: usize) -> Option<Duration> {
-        if held > self.terms.total_bytes {
+    fn stall_limit(&self, held_bytes: usize) -> Option<Duration> {
+        if held_bytes > self.terms.total_bytes {
             return Some(Duration::ZERO);
         }
-        let pressed = self.terms.admission_bytes / PRESSED_OF * PRESSED_PART;
-        (held > pressed).then_some(self.terms.pressed_stall)
+        let pressure_bytes = self.terms.admission_bytes / PRESSURE_DENOMINATOR * PRESSURE_NUMERATOR;
+        (held_bytes > pressure_bytes).then_some(self.terms.pressed_stall)
     }
 
-    fn worst(&self, now: Duration, least: Duration) -> Option<CutOff> {
-        let waiting = self.waiting(now, CutReason::Memory);
-        let holding = waiting.filter(|cut| cut.held_bytes > 0 && cut.unread_for >= least);
-        holding.max_by_key(|cut| cut.unread_for.as_millis() * cut.held_bytes as u128)
+    fn largest_stalled(&self, now: Duration, least: Duration) -> Option<Disconnect> {
+        let connections = self.stalled_connections(now, DisconnectReason::Memory);
+        let candidates = connections
+            .filter(|disconnect| disconnect.held_bytes > 0 && disconnect.stalled_for >= least);
+        candidates.max_by_key(|disconnect| {
+            disconnect.stalled_for.as_millis() * disconnect.held_bytes as u128
+        })
     }
 
-    fn waiting(&self, now: Duration, reason: CutReason) -> impl Iterator<Item = CutOff> {
+    fn stalled_connections(
+        &self,
+        now: Duration,
+        reason: DisconnectReason,
+    ) -> impl Iterator<Item = Disconnect> {
         let fixed = self.terms.connection_bytes;
-        self.callers.iter().filter_map(move |(id, held)| {
-            Some(CutOff {
+        self.connections.iter().filter_map(move |(id, usage)| {
+            Some(Disconnect {
                 id: *id,
                 reason,
-                held_bytes: held.total() + fixed,
-                unread_for: held.unread_for(now)?,
+                held_bytes: usage.total() + fixed,
+                stalled_for: usage.stalled_for(now)?,
             })
         })
     }
 
-    fn mark(&mut self, cut: &CutOff) {
-        if let Some(held) = self.callers.get_mut(&cut.id) {
-            held.is_cut = true;
+    fn mark_disconnecting(&mut self, disconnect: &Disconnect) {
+        if let Some(usage) = self.connections.get_mut(&disconnect.id) {
+            usage.is_disconnecting = true;
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/held.rs
+++ b/crates/courseshed-edge/src/gateway/memory_tracker.rs
@@ -13,7 +13,7 @@
 use futures_util::StreamExt;
 use tokio::time::{sleep, timeout};
 
-use super::held_memory::{CutOff, HeldId, HeldKind, HeldMemory, HeldTerms};
+use super::memory_budget::{BufferKind, ConnectionId, Disconnect, HeldTerms, MemoryBudget};
 use super::refusal::Refusal;
 use crate::clock::Clock;
 use crate::http::BodyError;
@@ -21,37 +21,37 @@
 use crate::watched::Connection;
 
 /// How often connections are polled; short compared with the stall limits.
-const LOOK_INTERVAL: Duration = Duration::from_millis(200);
+const POLL_INTERVAL: Duration = Duration::from_millis(200);
 /// Upper bound of buffer capacity relative to content: the HTTP library doubles buffers as they
 /// grow.
-const BUFFER_GROWTH: usize = 2;
+const BUFFER_OVERHEAD_FACTOR: usize = 2;
 /// Initial capacity of a request body buffer, in bytes; it grows with the received data.
-const FIRST_BODY_BYTES: usize = 16 * 1024;
+const INITIAL_BODY_CAPACITY: usize = 16 * 1024;
 
 /// The memory budget of a gateway and the connections charged to it.
-pub(super) struct Ledger {
-    memory: RefCell<HeldMemory>,
-    watched: RefCell<HashMap<*const Connection, Watch>>,
+pub(super) struct MemoryTracker {
+    memory: RefCell<MemoryBudget>,
+    connections: RefCell<HashMap<*const Connection, TrackedConnection>>,
     read_stall: Duration,
     clock: Clock,
     metrics: Arc<Metrics>,
 }
 
 /// A connection charged to the budget.
-struct Watch {
-    id: HeldId,
+struct TrackedConnection {
+    id: ConnectionId,
     connection: Rc<Connection>,
     /// ID of the latest request on the connection.
     request: String,
 }
 
-impl Ledger {
+impl MemoryTracker {
     pub(super) fn new(terms: HeldTerms, metrics: Arc<Metrics>) -> Rc<Self> {
         let limit = i64::try_from(terms.total_bytes).unwrap_or(i64::MAX);
         metrics.held_limit.set(limit);
         Rc::new(Self {
-            memory: RefCell::new(HeldMemory::new(terms)),
-            watched: RefCell::default(),
+            memory: RefCell::new(MemoryBudget::new(terms)),
+            connections: RefCell::default(),
             read_stall: terms.read_stall,
             clock: Clock::start(),
             metrics,
@@ -59,96 +59,106 @@
     }
 
     /// Starts tracking a request on a connection.
-    pub(super) fn begin(self: &Rc<Self>, connection: Rc<Connection>, request: &str) -> Holding {
-        let mut watched = self.watched.borrow_mut();
-        let watch = watched
+    pub(super) fn begin(
+        self: &Rc<Self>,
+        connection: Rc<Connection>,
+        request: &str,
+    ) -> RequestMemory {
+        let mut connections = self.connections.borrow_mut();
+        let tracked = connections
             .entry(Rc::as_ptr(&connection))
-            .or_insert_with(|| Watch {
+            .or_insert_with(|| TrackedConnection {
                 id: self.memory.borrow_mut().begin(),
                 connection,
                 request: String::new(),
             });
-        request.clone_into(&mut watch.request);
-        Holding {
-            ledger: self.clone(),
-            id: watch.id,
+        request.clone_into(&mut tracked.request);
+        RequestMemory {
+            tracker: self.clone(),
+            id: tracked.id,
         }
     }
 
     /// Updates the unsent bytes of every connection and disconnects the clients that the budget
     /// selects.
-    fn look(&self) {
+    fn poll(&self) {
         let now = self.clock.now();
         let mut memory = self.memory.borrow_mut();
-        let mut watched = self.watched.borrow_mut();
-        watched.retain(|_, watch| {
-            let connection = &watch.connection;
+        let mut connections = self.connections.borrow_mut();
+        connections.retain(|_, tracked| {
+            let connection = &tracked.connection;
             if connection.is_closed() {
-                memory.end(watch.id);
+                memory.end(tracked.id);
                 return false;
             }
             let blocked_for = connection.blocked_for();
             let since = blocked_for.map(|time| now.saturating_sub(time));
-            memory.note_unread(watch.id, BUFFER_GROWTH * connection.unwritten(), since);
+            memory.set_unsent(
+                tracked.id,
+                BUFFER_OVERHEAD_FACTOR * connection.unwritten(),
+                since,
+            );
             true
         });
-        let cut_offs = memory.cut_offs(now);
+        let disconnects = memory.select_disconnects(now);
         self.metrics.set_held(memory.total());
-        for cut in cut_offs {
-            let watch = watched.values().find(|watch| watch.id == cut.id);
-            if let Some(watch) = watch {
-                self.cut(watch, &cut);
+        for disconnect in disconnects {
+            let tracked = connections
+                .values()
+                .find(|tracked| tracked.id == disconnect.id);
+            if let Some(tracked) = tracked {
+                self.disconnect(tracked, &disconnect);
             }
         }
     }
 
-    fn cut(&self, watch: &Watch, cut: &CutOff) {
-        let reason = cut.reason.as_str();
+    fn disconnect(&self, tracked: &TrackedConnection, disconnect: &Disconnect) {
+        let reason = disconnect.reason.as_str();
         self.metrics
             .callers_cut_off
             .get_or_create(&CutLabels { reason })
             .inc();
-        log::info!(event = "caller_cut_off", request = watch.request.as_str(), reason, held_bytes = cut.held_bytes, unread_ms = cut.unread_for.as_millis() as u64; "disconnected a client that does not read its response");
-        watch.connection.cut();
+        log::info!(event = "caller_cut_off", request = tracked.request.as_str(), reason, held_bytes = disconnect.held_bytes, unread_ms = disconnect.stalled_for.as_millis() as u64; "disconnected a client that does not read its response");
+        tracked.connection.cut();
     }
 }
 
 /// Polls the connections until the process exits.
-pub(super) async fn watch_callers(ledger: Rc<Ledger>) {
+pub(super) async fn monitor_connections(tracker: Rc<MemoryTracker>) {
     loop {
-        sleep(LOOK_INTERVAL).await;
-        ledger.look();
+        sleep(POLL_INTERVAL).await;
+        tracker.poll();
     }
 }
 
 /// Memory held for one request; released on drop.
-pub(super) struct Holding {
-    ledger: Rc<Ledger>,
-    id: HeldId,
+pub(super) struct RequestMemory {
+    tracker: Rc<MemoryTracker>,
+    id: ConnectionId,
 }
 
-impl Holding {
+impl RequestMemory {
     /// Sets the number of bytes held in buffers of a kind.
-    pub(super) fn set(&self, kind: HeldKind, bytes: usize) {
-        let mut memory = self.ledger.memory.borrow_mut();
+    pub(super) fn set(&self, kind: BufferKind, bytes: usize) {
+        let mut memory = self.tracker.memory.borrow_mut();
         memory.set(self.id, kind, bytes);
-        self.ledger.metrics.set_held(memory.total());
+        self.tracker.metrics.set_held(memory.total());
     }
 
     /// Whether responses may be read ahead of the client.
     pub(super) fn has_room(&self) -> bool {
-        self.ledger.memory.borrow().has_room()
+        self.tracker.memory.borrow().has_room()
     }
 
     /// Checks that the budget admits more bytes of request bodies.
     ///
     /// # Errors
     /// [`Refusal::NoMemory`], which is also counted in the metrics.
-    pub(super) fn check_room(&self, bytes: usize) -> Result<(), Refusal> {
-        if self.ledger.memory.borrow().admits(bytes) {
+    pub(super) fn check_budget(&self, bytes: usize) -> Result<(), Refusal> {
+        if self.tracker.memory.borrow().admits(bytes) {
             return Ok(());
         }
-        self.ledger.metrics.held_refusals.inc();
+        self.tracker.metrics.held_refusals.inc();
         Err(Refusal::NoMemory)
     }
 
@@ -159,15 +169,15 @@
         request: &mut Request,
         limit: usize,
     ) -> Result<Bytes, Refusal> {
-        let announced = announced_length(request).unwrap_or(0);
-        if announced > limit {
+        let declared = content_length(request).unwrap_or(0);
+        if declared > limit {
             return Err(BodyError::TooLarge.into());
         }
-        self.check_room(announced)?;
+        self.check_budget(declared)?;
         let mut payload = request.take_payload();
-        let mut body = BytesMut::with_capacity(announced.min(FIRST_BODY_BYTES));
+        let mut body = BytesMut::with_capacity(declared.min(INITIAL_BODY_CAPACITY));
         // A client that sends nothing for the stall limit is considered gone.
-        while let Some(chunk) = timeout(self.ledger.read_stall, payload.next())
+        while let Some(chunk) = timeout(self.tracker.read_stall, payload.next())
             .await
             .map_err(|_| BodyError::Unreadable)?
         {
@@ -175,22 +185,22 @@
             if body.len() + chunk.len() > limit {
                 return Err(BodyError::TooLarge.into());
             }
-            self.check_room(chunk.len())?;
+            self.check_budget(chunk.len())?;
             body.extend_from_slice(&chunk);
-            self.set(HeldKind::Request, body.capacity());
+            self.set(BufferKind::Request, body.capacity());
         }
         Ok(body.freeze())
     }
 }
 
-impl Drop for Holding {
+impl Drop for RequestMemory {
     fn drop(&mut self) {
-        self.set(HeldKind::Request, 0);
-        self.set(HeldKind::Answer, 0);
+        self.set(BufferKind::Request, 0);
+        self.set(BufferKind::Response, 0);
     }
 }
 
-fn announced_length(request: &Request) -> Option<usize> {
+fn content_length(request: &Request) -> Option<usize> {
     let length = request.headers().get(header::CONTENT_LENGTH)?;
     length.to_str().ok()?.parse().ok()
 }
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -15,9 +15,9 @@
 mod cost;
 mod directory;
 mod events;
-mod held;
-mod held_memory;
 mod load;
+mod memory_budget;
+mod memory_tracker;
 mod outcome_change;
 mod outcomes;
 mod plain;
@@ -43,7 +43,9 @@
 pub use chosen::Chosen;
 pub use cost::{PaceEstimate, Prospect, ServicePace, expected_ms};
 pub use events::{Event, EventSplitter};
-pub use held_memory::{CutOff, CutReason, HeldId, HeldKind, HeldMemory, HeldTerms};
+pub use memory_budget::{
+    BufferKind, ConnectionId, Disconnect, DisconnectReason, HeldTerms, MemoryBudget,
+};
 pub use outcome_change::OutcomeChange;
 pub use policy::{Mechanism, Policy, UnknownMechanism};
 pub use prompt_memory::PromptMemory;
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -14,8 +14,8 @@
 use tokio::time::timeout_at;
 
 use super::attempts::{Attempts, Opened};
-use super::held::Holding;
-use super::held_memory::HeldKind;
+use super::memory_budget::BufferKind;
+use super::memory_tracker::RequestMemory;
 use super::refusal::Refusal;
 use super::servers::Report;
 use super::upstream::UpstreamError;
@@ -87,13 +87,13 @@
     attempts: &Attempts,
 ) -> Result<AnswerRead, UpstreamError> {
     let upstream = &mut opened.upstream;
-    let holding = &attempts.holding;
+    let memory = &attempts.memory;
     let read = async {
         let mut body = BytesMut::new();
         while let Some(chunk) = upstream.next_chunk().await? {
             body.extend_from_slice(&chunk);
-            holding.set(HeldKind::Answer, body.capacity() + upstream.buffered());
-            if body.len() > WHOLE_ANSWER || !holding.has_room() {
+            memory.set(BufferKind::Response, body.capacity() + upstream.buffered());
+            if body.len() > WHOLE_ANSWER || !memory.has_room() {
                 return Ok(AnswerRead::Begun(body.freeze()));
             }
         }
@@ -119,7 +119,7 @@
             opened.upstream.finish();
             response.set_body(BoxBody::new(WholeAnswer {
                 rest: body,
-                _holding: attempts.holding,
+                _memory: attempts.memory,
             }))
         }
         AnswerRead::Begun(ready) => {
@@ -136,7 +136,7 @@
 /// A completely buffered body, released in chunks as the client's connection accepts them.
 struct WholeAnswer {
     rest: Bytes,
-    _holding: Holding,
+    _memory: RequestMemory,
 }
 
 impl MessageBody for WholeAnswer {
@@ -212,7 +212,7 @@
         let upstream = &mut self.opened.upstream;
         let next = timeout_at(self.attempts.deadline, upstream.next_chunk()).await;
         let buffered = upstream.buffered();
-        self.attempts.holding.set(HeldKind::Answer, buffered);
+        self.attempts.memory.set(BufferKind::Response, buffered);
         next.unwrap_or(Err(UpstreamError::TimedOut))
     }
 }
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -11,8 +11,8 @@
 
 use super::call::CallEnvelope;
 use super::core::GatewayCore;
-use super::held::Holding;
-use super::held_memory::HeldKind;
+use super::memory_budget::BufferKind;
+use super::memory_tracker::RequestMemory;
 use super::policy::Mechanism;
 use super::refusal::Refusal;
 use crate::records::{ChainLookup, RecordClient, RecordsUnavailable, Reservation, Settlement};
@@ -178,7 +178,7 @@
     tenant: Option<&str>,
     homes: &HomeRegions,
     deadline: Instant,
-    holding: &Holding,
+    memory: &RequestMemory,
 ) -> Result<ComposedBody, Refusal> {
     // Turns without a program are stored under the empty program ID.
     let program = call.program.as_ref().map_or("", |claim| &claim.program);
@@ -219,8 +219,8 @@
         .iter()
         .map(|turn| turn.input.len() + turn.output.len())
         .sum::<usize>();
-    holding.check_room(size + call.body.len())?;
-    holding.set(HeldKind::Request, size + 2 * call.body.len());
+    memory.check_budget(size + call.body.len())?;
+    memory.set(BufferKind::Request, size + 2 * call.body.len());
     let mut body = BytesMut::with_capacity(size + call.body.len());
     for turn in &chain {
         body.extend_from_slice(&turn.input);
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -17,9 +17,9 @@
 use super::attempts::{Attempts, CallTimes, ChosenService};
 use super::call::{CallCodec, CallEnvelope, Credential};
 use super::core::{CoreParts, GatewayCore};
-use super::held::{Holding, watch_callers};
-use super::held_memory::HeldTerms;
 use super::load::share_load;
+use super::memory_budget::HeldTerms;
+use super::memory_tracker::{RequestMemory, monitor_connections};
 use super::policy::{Mechanism, Policy};
 use super::quota::exchange_permits;
 use super::refusal::Refusal;
@@ -147,7 +147,7 @@
     }
     actix_rt::spawn(follow_fleet(core.clone()));
     actix_rt::spawn(tidy(core.clone()));
-    actix_rt::spawn(watch_callers(core.ledger.clone()));
+    actix_rt::spawn(monitor_connections(core.memory_tracker.clone()));
     actix_rt::spawn(exchange_permits(
         core.clone(),
         peers.clone(),
@@ -263,7 +263,7 @@
 ) -> Result<(Attempts, Option<u64>), Refusal> {
     let arrived = Instant::now();
     let limits = limits_in_force(core);
-    let (call, holding) = read_call(core, request, &limits).await?;
+    let (call, memory) = read_call(core, request, &limits).await?;
     let wait = call
         .time_left
         .map_or(START_WAIT, |left| START_WAIT.min(left / 4));
@@ -301,7 +301,7 @@
         route,
         service,
         CallTimes { arrived, deadline },
-        holding,
+        memory,
     );
     Ok((attempts, tokens_per_event))
 }
@@ -353,7 +353,7 @@
     core: &Rc<GatewayCore>,
     mut request: Request,
     limits: &CallLimits,
-) -> Result<(CallEnvelope, Holding), Refusal> {
+) -> Result<(CallEnvelope, RequestMemory), Refusal> {
     let head_bytes: usize = request
         .headers()
         .iter()
@@ -362,8 +362,10 @@
         + request.uri().to_string().len();
     let read = core.codec.read_call(request.head());
     let request_id = read.as_ref().map_or("", |call| &call.request_id);
-    let holding = core.ledger.begin(connection_of(&request), request_id);
-    let body = holding
+    let memory = core
+        .memory_tracker
+        .begin(connection_of(&request), request_id);
+    let body = memory
         .read_body(&mut request, limits.max_body_bytes)
         .await?;
     if head_bytes > limits.max_header_bytes {
@@ -374,7 +376,7 @@
         Refusal::Unreadable
     })?;
     call.body = body;
-    Ok((call, holding))
+    Ok((call, memory))
 }
 
 impl From<BodyError> for Refusal {
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -18,7 +18,7 @@
 
 use super::attempts::{Attempts, LEAST_TIME, Opened};
 use super::events::{Event, EventSplitter};
-use super::held_memory::HeldKind;
+use super::memory_budget::BufferKind;
 use super::plain::{answer, answer_head, forward, read_to_bound, refuse};
 use super::program::{TokenReservation, compose_body, keep_ms, reserve, turn_of};
 use super::refusal::Refusal;
@@ -64,7 +64,7 @@
             attempts.caller.tenant_name(),
             attempts.kept_within(),
             attempts.deadline,
-            &attempts.holding
+            &attempts.memory
         ),
     );
     let (mut reservation, composed) = match prepared {
@@ -204,7 +204,7 @@
         let upstream = self.opened.as_ref();
         let read = upstream.map_or(0, |opened| opened.upstream.buffered());
         let held = read + self.splitter.held() + self.output.len();
-        self.attempts.holding.set(HeldKind::Answer, held);
+        self.attempts.memory.set(BufferKind::Response, held);
     }
 
     /// The complete events that the client has not received, in their original bytes.
