--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -15,16 +15,16 @@
 use super::policy::Mechanism;
 use super::program::program_key;
 use super::refusal::Refusal;
-use super::schedule::Asked;
+use super::schedule::EngineReply;
 use crate::metrics::ChoiceLabels;
 
 /// Maximum number of servers that refuse a call or are unreachable before the client gets an error.
-const REFUSALS_BORNE: usize = 4;
+const MAX_REFUSALS: usize = 4;
 /// Maximum number of retries at the same server.
-const REPEATS_BORNE: usize = 2;
+const MAX_SAME_SERVER_RETRIES: usize = 2;
 /// Maximum number of grants of engines that this gateway doesn't know before it chooses a server
 /// itself. Server lists of gateways and schedulers differ briefly after a change.
-const STRANGERS_BORNE: usize = 2;
+const MAX_UNKNOWN_ENGINES: usize = 2;
 /// Values of the metric label that tells who selected a server.
 const BY_SCHEDULER: &str = "scheduler";
 const BY_GATEWAY: &str = "local";
@@ -34,32 +34,37 @@
     Engine(Assigned),
     /// No engine was granted, so the gateway chooses a server itself. Its server list may be more
     /// recent than the scheduler's.
-    Unknown,
+    Undecided,
 }
 
 impl Attempts {
     /// Selects the server for the next attempt; `None` if none is available.
     pub(super) async fn assign(&mut self) -> Result<Option<Assigned>, Refusal> {
-        if let Some(kept) = self.kept.take()
-            && self.core.servers.borrow().listed(&kept.chosen.id).is_some()
+        if let Some(reserved) = self.reserved.take()
+            && self
+                .core
+                .servers
+                .borrow()
+                .listed(&reserved.chosen.id)
+                .is_some()
         {
-            return Ok(Some(kept));
+            return Ok(Some(reserved));
         }
-        if self.passed_over.len() > REFUSALS_BORNE {
+        if self.excluded_servers.len() > MAX_REFUSALS {
             return Ok(None);
         }
-        if self.sent_to.len() < self.route.max_attempts as usize {
-            let mut excluded = self.passed_over.clone();
-            excluded.extend(self.sent_to.iter().cloned());
+        if self.attempted_servers.len() < self.route.max_attempts as usize {
+            let mut excluded = self.excluded_servers.clone();
+            excluded.extend(self.attempted_servers.iter().cloned());
             let other = match self.schedule(&excluded).await? {
                 Scheduled::Engine(assigned) => Some(assigned),
-                Scheduled::Unknown => self.choose_here(&excluded),
+                Scheduled::Undecided => self.choose_locally(&excluded),
             };
             if other.is_some() {
                 return Ok(other);
             }
         }
-        Ok(self.repeat())
+        Ok(self.retry_last_server())
     }
 
     /// Asks the pool scheduler, if the service is a pool.
@@ -67,44 +72,46 @@
         // Pool schedulers don't support region restrictions.
         let is_scheduled = self.is_pool && !self.homes.is_restricted();
         if !is_scheduled || !self.core.policy.uses(Mechanism::PoolScheduler) {
-            return Ok(Scheduled::Unknown);
+            return Ok(Scheduled::Undecided);
         }
         let mut excluded: Vec<ServerKey> = excluded.iter().map(|id| ServerKey::of(id)).collect();
         let give_up = self.deadline - LEAST_TIME;
-        for _ in 0..STRANGERS_BORNE {
+        for _ in 0..MAX_UNKNOWN_ENGINES {
             let demand = self.demand(excluded.clone());
-            let renewed = |number| self.renewed(&demand, number);
+            let refreshed = |number| self.refreshed(&demand, number);
             let schedulers = self.core.schedulers.clone();
-            let asked = schedulers.ask(&self.service, give_up, renewed).await;
+            let asked = schedulers
+                .request_engine(&self.service, give_up, refreshed)
+                .await;
             let (call, key, inputs) = match asked {
-                Asked::Granted(call, key, inputs) => (call, key, inputs),
-                Asked::Refused(retry_after, inputs) => {
+                EngineReply::Granted(call, key, inputs) => (call, key, inputs),
+                EngineReply::Refused(retry_after, inputs) => {
                     self.log.schedule = inputs;
                     return Err(self.not_sent_again(Refusal::Overloaded { retry_after }));
                 }
-                Asked::NoEngine(inputs) => {
+                EngineReply::NoEngine(inputs) => {
                     self.log.schedule = inputs;
-                    return Ok(Scheduled::Unknown);
+                    return Ok(Scheduled::Undecided);
                 }
-                Asked::Unknown => return Ok(Scheduled::Unknown),
-                Asked::TooLate => return Err(self.out_of_time()),
+                EngineReply::Unknown => return Ok(Scheduled::Undecided),
+                EngineReply::TooLate => return Err(self.out_of_time()),
             };
             let found = self.core.servers.borrow().listed_as(&self.service, key);
             match found.filter(|_| !excluded.contains(&key)) {
                 Some(chosen) => {
-                    self.note_choice(BY_SCHEDULER, inputs);
+                    self.record_choice(BY_SCHEDULER, inputs);
                     let assigned = Assigned::new(chosen, Some(call));
                     return Ok(Scheduled::Engine(assigned));
                 }
                 None => excluded.push(key),
             }
         }
-        Ok(Scheduled::Unknown)
+        Ok(Scheduled::Undecided)
     }
 
     /// Chooses a server by this gateway's own statistics. In a pool, the call is later reported to
     /// the scheduler as running.
-    fn choose_here(&mut self, excluded: &[String]) -> Option<Assigned> {
+    fn choose_locally(&mut self, excluded: &[String]) -> Option<Assigned> {
         let chosen = {
             let table = self.core.servers.borrow();
             let demand = Demand {
@@ -116,7 +123,7 @@
             };
             table.choose(&demand, excluded, self.core.clock.now(), rand::random())?
         };
-        self.note_choice(BY_GATEWAY, DecisionInputs::default());
+        self.record_choice(BY_GATEWAY, DecisionInputs::default());
         let is_scheduled = self.is_pool && self.core.policy.uses(Mechanism::PoolScheduler);
         let key = ServerKey::of(&chosen.id);
         let call = is_scheduled.then(|| self.core.schedulers.begin_local(&self.service, key));
@@ -124,25 +131,25 @@
     }
 
     /// Selects the last server again; this does not count towards the maximum number of servers.
-    fn repeat(&mut self) -> Option<Assigned> {
-        if self.repeats >= REPEATS_BORNE {
+    fn retry_last_server(&mut self) -> Option<Assigned> {
+        if self.same_server_retries >= MAX_SAME_SERVER_RETRIES {
             return None;
         }
-        self.repeats += 1;
-        let last = self.sent_to.last()?;
+        self.same_server_retries += 1;
+        let last = self.attempted_servers.last()?;
         let chosen = self.core.servers.borrow().listed(last)?;
-        self.note_choice(BY_GATEWAY, DecisionInputs::default());
+        self.record_choice(BY_GATEWAY, DecisionInputs::default());
         Some(Assigned::new(chosen, None))
     }
 
-    fn note_choice(&mut self, by: &'static str, inputs: DecisionInputs) {
+    fn record_choice(&mut self, by: &'static str, inputs: DecisionInputs) {
         self.log.chosen_by = by;
         self.log.schedule = inputs;
         let choices = &self.core.metrics.choices;
         choices.get_or_create(&ChoiceLabels { by }).inc();
     }
 
-    /// The scheduling demand of the call. Time-dependent fields are set by [`Self::renewed`].
+    /// The scheduling demand of the call. Time-dependent fields are set by [`Self::refreshed`].
     fn demand(&self, excluded: Vec<ServerKey>) -> CallDemand {
         let tenant = self.caller.tenant();
         let quota = tenant.and_then(|tenant| tenant.quota.as_ref());
@@ -161,12 +168,12 @@
             waited_ms: 0,
             time_left_ms: 0,
             excluded,
-            held: self.held.clone(),
+            held: self.cached_prompts.clone(),
         }
     }
 
     /// The demand with up-to-date times and the given call number.
-    fn renewed(&self, demand: &CallDemand, number: u64) -> CallDemand {
+    fn refreshed(&self, demand: &CallDemand, number: u64) -> CallDemand {
         let program = demand.program.map(|standing| ProgramStanding {
             left_ms: self.program_left_ms(),
             ..standing
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -142,7 +142,7 @@
     /// Whether the service is a pool of engines.
     pub is_pool: bool,
     /// Prompt segments cached by servers for the program, according to the record stores.
-    pub held: Vec<CachedPrompt>,
+    pub cached_prompts: Vec<CachedPrompt>,
     /// The body sent to the server.
     pub body: Bytes,
     /// The prompt segments whose caching matters for server selection.
@@ -158,11 +158,11 @@
     permit: Option<Permit>,
     version: u64,
     pub connection_limit: u32,
-    pub sent_to: Vec<String>,
-    pub passed_over: Vec<String>,
-    pub repeats: usize,
+    pub attempted_servers: Vec<String>,
+    pub excluded_servers: Vec<String>,
+    pub same_server_retries: usize,
     /// A selected server to which nothing was sent because the permit expired.
-    pub kept: Option<Assigned>,
+    pub reserved: Option<Assigned>,
     /// Whether a server failed after it received the request, even if that server is gone by now.
     may_have_run: bool,
 }
@@ -203,12 +203,12 @@
             arrived,
             deadline,
             is_pool,
-            held: Vec::new(),
+            cached_prompts: Vec::new(),
             log,
-            sent_to: Vec::new(),
-            passed_over: Vec::new(),
-            repeats: 0,
-            kept: None,
+            attempted_servers: Vec::new(),
+            excluded_servers: Vec::new(),
+            same_server_retries: 0,
+            reserved: None,
             may_have_run: false,
         }
     }
@@ -251,7 +251,7 @@
             if self.permit.as_mut().is_some_and(|permit| !permit.send()) {
                 upstream.finish();
                 self.permit = None;
-                self.kept = Some(Assigned {
+                self.reserved = Some(Assigned {
                     chosen,
                     call,
                     in_flight: Some(in_flight),
@@ -277,7 +277,7 @@
                     }
                     end_call(call, CallEnd::Refused);
                     self.log.note_refusal(&chosen.id, head.status.as_u16());
-                    self.pass_over(&chosen.id);
+                    self.exclude(&chosen.id);
                     upstream.finish();
                     if let Some(permit) = self.permit.take() {
                         permit.not_run();
@@ -464,8 +464,8 @@
         let head = self.write_head(chosen, resume_after);
         let request = head.chain(self.body.clone());
         self.log.attempts += 1;
-        if !self.sent_to.contains(&chosen.id) {
-            self.sent_to.push(chosen.id.clone());
+        if !self.attempted_servers.contains(&chosen.id) {
+            self.attempted_servers.push(chosen.id.clone());
         }
         let sent_at = Instant::now();
         let core = &self.core;
@@ -489,7 +489,7 @@
     /// How long to wait for a response before another server is tried; `None` if the call can't be
     /// retried.
     fn silence_borne(&self) -> Option<Duration> {
-        let may_go_on = self.sent_to.len() < self.route.max_attempts as usize;
+        let may_go_on = self.attempted_servers.len() < self.route.max_attempts as usize;
         let is_limited = self.core.policy.uses(Mechanism::SilenceLimit);
         if self.route.kind != CallKind::Repeatable || !may_go_on || !is_limited {
             return None;
@@ -529,9 +529,9 @@
         true
     }
 
-    fn pass_over(&mut self, server: &str) {
-        self.sent_to.retain(|sent| sent != server);
-        self.passed_over.push(server.to_owned());
+    fn exclude(&mut self, server: &str) {
+        self.attempted_servers.retain(|sent| sent != server);
+        self.excluded_servers.push(server.to_owned());
         self.log.refused_by += 1;
     }
 
@@ -541,7 +541,7 @@
                 self.log.note_error(&chosen.id, error);
                 self.core.report(&chosen.id, Report::Failed);
                 // An unreachable server does not count as an attempt.
-                self.pass_over(&chosen.id);
+                self.exclude(&chosen.id);
                 Ok(())
             }
             UpstreamError::Broken { .. } | UpstreamError::Silent => {
--- a/crates/courseshed-edge/src/gateway/call_book.rs
+++ b/crates/courseshed-edge/src/gateway/call_tracker.rs
@@ -11,19 +11,19 @@
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// How long an unresponsive controller is skipped: about the duration of a planned restart.
-pub const SILENT_REST: Duration = Duration::from_secs(1);
+pub const UNRESPONSIVE_COOLDOWN: Duration = Duration::from_secs(1);
 /// Bits reserved for the calls of one millisecond, so that a restarted gateway never reuses a
 /// number.
-const NUMBERS_OF_A_MILLISECOND: u32 = 20;
+const NUMBER_BITS_PER_MS: u32 = 20;
 
 /// A call with an assigned number.
 #[derive(Clone, Debug)]
-struct BookedCall {
+struct TrackedCall {
     service: String,
     /// The engine and the time of assignment; `None` while the call is queued.
-    at_engine: Option<(ServerKey, Duration)>,
+    assignment: Option<(ServerKey, Duration)>,
     /// Controllers that have seen the call number.
-    known_to: Vec<NodeId>,
+    reported_to: Vec<NodeId>,
 }
 
 /// The scheduler that last received calls of a service.
@@ -36,24 +36,24 @@
 
 /// The calls of a gateway that schedulers know of or have yet to be told of.
 #[derive(Clone, Debug)]
-pub struct CallBook {
+pub struct CallTracker {
     next_number: u64,
-    calls: BTreeMap<u64, BookedCall>,
+    calls: BTreeMap<u64, TrackedCall>,
     /// Unresponsive controllers, with the end of their cooldown.
-    resting: BTreeMap<NodeId, Duration>,
+    cooldowns: BTreeMap<NodeId, Duration>,
     schedulers: BTreeMap<String, LastScheduler>,
     /// Unsent notes, by controller and service.
     notes: BTreeMap<(NodeId, String), Vec<CallNote>>,
 }
 
-impl CallBook {
+impl CallTracker {
     /// Creates the tracker of a gateway that starts at the given wall-clock time in milliseconds.
     #[must_use]
     pub fn new(time_of_day_ms: u64) -> Self {
         Self {
-            next_number: time_of_day_ms << NUMBERS_OF_A_MILLISECOND,
+            next_number: time_of_day_ms << NUMBER_BITS_PER_MS,
             calls: BTreeMap::new(),
-            resting: BTreeMap::new(),
+            cooldowns: BTreeMap::new(),
             schedulers: BTreeMap::new(),
             notes: BTreeMap::new(),
         }
@@ -68,11 +68,11 @@
         controllers: &[NodeId],
         now: Duration,
     ) -> Option<NodeId> {
-        let awake = controllers
+        let available = controllers
             .iter()
             .copied()
-            .filter(|node| !self.rests(*node, now));
-        awake.max_by_key(|node| {
+            .filter(|node| !self.is_cooling_down(*node, now));
+        available.max_by_key(|node| {
             let weight = xxh3_64_with_seed(service.as_bytes(), u64::from(node.0));
             (weight, node.0)
         })
@@ -80,32 +80,33 @@
 
     /// Whether a controller is in cooldown.
     #[must_use]
-    pub fn rests(&self, controller: NodeId, now: Duration) -> bool {
-        let until = self.resting.get(&controller);
+    pub fn is_cooling_down(&self, controller: NodeId, now: Duration) -> bool {
+        let until = self.cooldowns.get(&controller);
         until.is_some_and(|until| now < *until)
     }
 
     /// Starts the cooldown of an unresponsive controller.
-    pub fn rest(&mut self, controller: NodeId, now: Duration) {
-        self.resting.retain(|_, until| now < *until);
-        self.resting.insert(controller, now + SILENT_REST);
+    pub fn start_cooldown(&mut self, controller: NodeId, now: Duration) {
+        self.cooldowns.retain(|_, until| now < *until);
+        self.cooldowns
+            .insert(controller, now + UNRESPONSIVE_COOLDOWN);
     }
 
     /// Registers a call that is queued at a controller. Returns its number and whether the
     /// scheduler there must first be sent the running calls of the service, because another
     /// controller scheduled it before.
-    pub fn begin_waiting(&mut self, service: &str, controller: NodeId) -> (u64, bool) {
+    pub fn begin_queued(&mut self, service: &str, controller: NodeId) -> (u64, bool) {
         let number = self.begin(service, None, vec![controller]);
         let last = self.schedulers.get(service);
-        let is_other = last.is_none_or(|last| last.controller != controller);
-        if is_other {
+        let has_changed = last.is_none_or(|last| last.controller != controller);
+        if has_changed {
             let scheduler = LastScheduler {
                 controller,
                 incarnation: None,
             };
             self.schedulers.insert(service.to_owned(), scheduler);
         }
-        (number, is_other)
+        (number, has_changed)
     }
 
     /// Registers a call that runs at an engine chosen by this gateway. Returns its number.
@@ -116,30 +117,30 @@
     fn begin(
         &mut self,
         service: &str,
-        at_engine: Option<(ServerKey, Duration)>,
-        known_to: Vec<NodeId>,
+        assignment: Option<(ServerKey, Duration)>,
+        reported_to: Vec<NodeId>,
     ) -> u64 {
         let number = self.next_number;
         self.next_number += 1;
-        let call = BookedCall {
+        let call = TrackedCall {
             service: service.to_owned(),
-            at_engine,
-            known_to,
+            assignment,
+            reported_to,
         };
         self.calls.insert(number, call);
         number
     }
 
     /// Records that a call was granted an engine.
-    pub fn note_granted(&mut self, number: u64, engine: ServerKey, now: Duration) {
+    pub fn record_grant(&mut self, number: u64, engine: ServerKey, now: Duration) {
         if let Some(call) = self.calls.get_mut(&number) {
-            call.at_engine = Some((engine, now));
+            call.assignment = Some((engine, now));
         }
     }
 
     /// Records the incarnation of a scheduler that responded. Returns true if it has changed, in
     /// which case the scheduler must be sent the running calls.
-    pub fn note_answer(&mut self, service: &str, controller: NodeId, incarnation: u64) -> bool {
+    pub fn record_reply(&mut self, service: &str, controller: NodeId, incarnation: u64) -> bool {
         let Some(last) = self.schedulers.get_mut(service) else {
             return false;
         };
@@ -155,7 +156,7 @@
         let Some(call) = self.calls.remove(&number) else {
             return;
         };
-        for controller in call.known_to {
+        for controller in call.reported_to {
             let notes = self.notes.entry((controller, call.service.clone()));
             notes.or_default().push(CallNote { number, end });
         }
@@ -168,7 +169,7 @@
 
     /// The running calls of a service, for a controller, which is sent their end notes from then
     /// on.
-    pub fn tell_running(
+    pub fn running_calls(
         &mut self,
         service: &str,
         controller: NodeId,
@@ -176,14 +177,14 @@
     ) -> Vec<RunningCall> {
         let mut running = Vec::new();
         for (number, call) in &mut self.calls {
-            let Some((engine, since)) = call.at_engine else {
+            let Some((engine, since)) = call.assignment else {
                 continue;
             };
             if call.service != service {
                 continue;
             }
-            if !call.known_to.contains(&controller) {
-                call.known_to.push(controller);
+            if !call.reported_to.contains(&controller) {
+                call.reported_to.push(controller);
             }
             let for_ms = now.saturating_sub(since).as_millis();
             running.push(RunningCall {
@@ -200,7 +201,7 @@
     pub fn schedulers(&self) -> Vec<(String, NodeId, bool)> {
         let is_busy = |service: &str| {
             let mut calls = self.calls.values();
-            calls.any(|call| call.service == service && call.at_engine.is_some())
+            calls.any(|call| call.service == service && call.assignment.is_some())
         };
         let schedulers = self.schedulers.iter();
         schedulers
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -7,8 +7,8 @@
 mod assigned;
 mod attempts;
 mod call;
-mod call_book;
 mod call_log;
+mod call_tracker;
 mod choice;
 mod chosen;
 mod core;
@@ -38,7 +38,7 @@
 pub use call::{
     AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
 };
-pub use call_book::{CallBook, SILENT_REST};
+pub use call_tracker::{CallTracker, UNRESPONSIVE_COOLDOWN};
 pub use choice::Demand;
 pub use chosen::Chosen;
 pub use cost::{PaceEstimate, Prospect, ServicePace, expected_ms};
--- a/crates/courseshed-edge/src/gateway/schedule.rs
+++ b/crates/courseshed-edge/src/gateway/schedule.rs
@@ -17,7 +17,7 @@
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, sleep, timeout_at};
 
-use super::call_book::CallBook;
+use super::call_tracker::CallTracker;
 use crate::clock::{Clock, time_of_day_ms};
 use crate::follower::FleetFollower;
 use crate::metrics::Metrics;
@@ -25,14 +25,14 @@
 use crate::protocol::{PeerMessage, PeerReply, PeerRequest};
 
 /// Timeout of a request to a controller, which holds the request for up to 150 ms.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(250);
 /// Maximum number of unresponsive controllers before the gateway chooses an engine itself.
-const FAILURES_BORNE: usize = 2;
+const MAX_CONTROLLER_FAILURES: usize = 2;
 /// Interval at which running calls are sent to their scheduler again, to recover from lost notes.
-const RUNNING_INTERVAL: Duration = Duration::from_secs(2);
+const RESEND_INTERVAL: Duration = Duration::from_secs(2);
 
 /// The result of requesting an engine.
-pub(super) enum Asked {
+pub(super) enum EngineReply {
     /// The granted engine and the registration of the call.
     Granted(ScheduledCall, ServerKey, DecisionInputs),
     /// The call can't be served within its deadline; retry after the given time.
@@ -46,7 +46,7 @@
 }
 
 /// The reply of a controller.
-enum Answer {
+enum ControllerReply {
     Verdict(Verdict, DecisionInputs),
     UnknownPool,
     Failed,
@@ -61,11 +61,11 @@
     follower: Arc<FleetFollower>,
     metrics: Arc<Metrics>,
     clock: Clock,
-    book: RefCell<CallBook>,
+    tracker: RefCell<CallTracker>,
     /// Wakes the task that sends notes.
-    noted: Notify,
+    notes_pending: Notify,
     /// Notifies calls waiting at a controller that it became unresponsive.
-    silenced: watch::Sender<()>,
+    controller_silenced: watch::Sender<()>,
 }
 
 impl SchedulerClient {
@@ -79,97 +79,107 @@
             follower,
             metrics,
             clock: Clock::start(),
-            book: RefCell::new(CallBook::new(time_of_day_ms())),
-            noted: Notify::new(),
-            silenced: watch::channel(()).0,
+            tracker: RefCell::new(CallTracker::new(time_of_day_ms())),
+            notes_pending: Notify::new(),
+            controller_silenced: watch::channel(()).0,
         })
     }
 
     /// Requests an engine until there is a verdict. `demand` returns the current demand for a call
     /// number.
-    pub(super) async fn ask(
+    pub(super) async fn request_engine(
         self: &Rc<Self>,
         service: &str,
         deadline: Instant,
         demand: impl Fn(u64) -> CallDemand,
-    ) -> Asked {
+    ) -> EngineReply {
         let began = Instant::now();
         let mut failures = 0;
-        while failures < FAILURES_BORNE {
+        while failures < MAX_CONTROLLER_FAILURES {
             let Some(controller) = self.scheduler_of(service) else {
-                return Asked::Unknown;
+                return EngineReply::Unknown;
             };
-            let call = self.begin_waiting(service, controller);
+            let call = self.begin_queued(service, controller);
             let answer = self
-                .ask_there(&call, service, controller, deadline, &demand)
+                .poll_controller(&call, service, controller, deadline, &demand)
                 .await;
             match answer {
-                Answer::Verdict(verdict, inputs) => {
+                ControllerReply::Verdict(verdict, inputs) => {
                     self.metrics
                         .verdict_wait
                         .observe(began.elapsed().as_secs_f64());
                     return self.conclude(call, verdict, inputs);
                 }
-                Answer::UnknownPool => return Asked::Unknown,
-                Answer::Failed => failures += 1,
-                Answer::Moved => {}
-                Answer::TooLate => return Asked::TooLate,
+                ControllerReply::UnknownPool => return EngineReply::Unknown,
+                ControllerReply::Failed => failures += 1,
+                ControllerReply::Moved => {}
+                ControllerReply::TooLate => return EngineReply::TooLate,
             }
         }
-        Asked::Unknown
+        EngineReply::Unknown
     }
 
-    fn conclude(&self, call: ScheduledCall, verdict: Verdict, inputs: DecisionInputs) -> Asked {
+    fn conclude(
+        &self,
+        call: ScheduledCall,
+        verdict: Verdict,
+        inputs: DecisionInputs,
+    ) -> EngineReply {
         match verdict {
-            Verdict::Granted(engine) => Asked::Granted(call, engine, inputs),
+            Verdict::Granted(engine) => EngineReply::Granted(call, engine, inputs),
             Verdict::Refused { retry_after_ms } => {
                 let retry_after = Duration::from_millis(u64::from(retry_after_ms));
-                Asked::Refused(retry_after, inputs)
+                EngineReply::Refused(retry_after, inputs)
             }
-            Verdict::NoEngine => Asked::NoEngine(inputs),
-            Verdict::Waiting => Asked::Unknown,
+            Verdict::NoEngine => EngineReply::NoEngine(inputs),
+            Verdict::Waiting => EngineReply::Unknown,
         }
     }
 
     /// Registers a call at an engine that this gateway chose itself.
     pub(super) fn begin_local(self: &Rc<Self>, service: &str, engine: ServerKey) -> ScheduledCall {
         let now = self.clock.now();
-        let number = self.book.borrow_mut().begin_running(service, engine, now);
+        let number = self
+            .tracker
+            .borrow_mut()
+            .begin_running(service, engine, now);
         ScheduledCall {
             client: self.clone(),
             number,
-            is_over: false,
+            has_ended: false,
         }
     }
 
-    fn begin_waiting(self: &Rc<Self>, service: &str, controller: NodeId) -> ScheduledCall {
-        let (number, is_other) = self.book.borrow_mut().begin_waiting(service, controller);
-        if is_other {
+    fn begin_queued(self: &Rc<Self>, service: &str, controller: NodeId) -> ScheduledCall {
+        let (number, has_changed) = self.tracker.borrow_mut().begin_queued(service, controller);
+        if has_changed {
             log::info!(event = "pool_scheduler_chosen", service, controller:% = controller; "selected a new controller as the scheduler of a pool");
-            self.tell_running(service, controller);
+            self.send_running_calls(service, controller);
         }
         ScheduledCall {
             client: self.clone(),
             number,
-            is_over: false,
+            has_ended: false,
         }
     }
 
     fn scheduler_of(&self, service: &str) -> Option<NodeId> {
         let controllers = self.follower.controllers();
         let now = self.clock.now();
-        self.book.borrow().scheduler_of(service, &controllers, now)
+        self.tracker
+            .borrow()
+            .scheduler_of(service, &controllers, now)
     }
 
     /// Polls one controller until it decides.
-    async fn ask_there(
+    async fn poll_controller(
         &self,
         call: &ScheduledCall,
         service: &str,
         controller: NodeId,
         deadline: Instant,
         demand: &impl Fn(u64) -> CallDemand,
-    ) -> Answer {
+    ) -> ControllerReply {
         loop {
             self.send_notes();
             let request = PeerRequest::Schedule {
@@ -179,8 +189,8 @@
             let asked = self.request(controller, request);
             let reply = match timeout_at(deadline, asked).await {
                 Ok(Some(reply)) => reply,
-                Ok(None) => return Answer::Failed,
-                Err(_) => return Answer::TooLate,
+                Ok(None) => return ControllerReply::Failed,
+                Err(_) => return ControllerReply::TooLate,
             };
             match reply {
                 PeerReply::Scheduled {
@@ -188,19 +198,19 @@
                     verdict,
                     inputs,
                 } => {
-                    self.note_answer(call, service, controller, incarnation, verdict);
+                    self.record_reply(call, service, controller, incarnation, verdict);
                     if verdict != Verdict::Waiting {
-                        return Answer::Verdict(verdict, inputs);
+                        return ControllerReply::Verdict(verdict, inputs);
                     }
                 }
-                PeerReply::UnknownPool => return Answer::UnknownPool,
+                PeerReply::UnknownPool => return ControllerReply::UnknownPool,
                 _ => {
-                    self.pass_over(controller, "unexpected reply");
-                    return Answer::Failed;
+                    self.mark_unresponsive(controller, "unexpected reply");
+                    return ControllerReply::Failed;
                 }
             }
             if self.scheduler_of(service) != Some(controller) {
-                return Answer::Moved;
+                return ControllerReply::Moved;
             }
         }
     }
@@ -208,40 +218,44 @@
     /// Sends a request to a controller; `None` if it fails, or if the controller stops responding
     /// to other calls.
     async fn request(&self, controller: NodeId, request: PeerRequest) -> Option<PeerReply> {
-        let mut silenced = self.silenced.subscribe();
-        let is_silenced = async {
-            while silenced.changed().await.is_ok() {
-                if self.book.borrow().rests(controller, self.clock.now()) {
+        let mut controller_silenced = self.controller_silenced.subscribe();
+        let became_unresponsive = async {
+            while controller_silenced.changed().await.is_ok() {
+                if self
+                    .tracker
+                    .borrow()
+                    .is_cooling_down(controller, self.clock.now())
+                {
                     return;
                 }
             }
         };
         let reply = tokio::select! {
-            reply = self.peers.request(controller, request, ANSWER_LIMIT) => reply,
-            () = is_silenced => return None,
+            reply = self.peers.request(controller, request, REQUEST_TIMEOUT) => reply,
+            () = became_unresponsive => return None,
         };
         match reply {
             Ok(reply) => Some(reply),
             Err(error) => {
-                self.pass_over(controller, &error.to_string());
+                self.mark_unresponsive(controller, &error.to_string());
                 None
             }
         }
     }
 
-    fn pass_over(&self, controller: NodeId, reason: &str) {
+    fn mark_unresponsive(&self, controller: NodeId, reason: &str) {
         let now = self.clock.now();
-        let is_new = !self.book.borrow().rests(controller, now);
-        self.book.borrow_mut().rest(controller, now);
+        let is_new = !self.tracker.borrow().is_cooling_down(controller, now);
+        self.tracker.borrow_mut().start_cooldown(controller, now);
         if is_new {
             log::warn!(event = "pool_scheduler_silent", controller:% = controller, reason; "controller did not return a scheduling verdict; skipping it temporarily");
-            self.silenced.send_replace(());
+            self.controller_silenced.send_replace(());
         }
     }
 
     /// Records the incarnation of the scheduler that replied. A granted call counts as running
     /// first, so that a restarted scheduler receives it with the other running calls.
-    fn note_answer(
+    fn record_reply(
         &self,
         call: &ScheduledCall,
         service: &str,
@@ -249,35 +263,35 @@
         incarnation: u64,
         verdict: Verdict,
     ) {
-        let is_other = {
-            let mut book = self.book.borrow_mut();
+        let has_changed = {
+            let mut tracker = self.tracker.borrow_mut();
             if let Verdict::Granted(engine) = verdict {
-                book.note_granted(call.number, engine, self.clock.now());
+                tracker.record_grant(call.number, engine, self.clock.now());
             }
-            book.note_answer(service, controller, incarnation)
+            tracker.record_reply(service, controller, incarnation)
         };
-        if is_other {
+        if has_changed {
             log::info!(event = "pool_scheduler_restarted", service, controller:% = controller, incarnation; "pool scheduler restarted; sending it the running calls");
-            self.tell_running(service, controller);
+            self.send_running_calls(service, controller);
         }
     }
 
     /// Sends the running calls of a service to its scheduler.
-    fn tell_running(&self, service: &str, controller: NodeId) {
+    fn send_running_calls(&self, service: &str, controller: NodeId) {
         self.send_notes();
         let now = self.clock.now();
-        let mut book = self.book.borrow_mut();
+        let mut tracker = self.tracker.borrow_mut();
         let message = PeerMessage::PoolCalls {
             service: service.to_owned(),
-            calls: book.tell_running(service, controller, now),
+            calls: tracker.running_calls(service, controller, now),
         };
-        drop(book);
+        drop(tracker);
         self.send(controller, message);
     }
 
     /// Sends pending notes.
     fn send_notes(&self) {
-        let notes = self.book.borrow_mut().take_notes();
+        let notes = self.tracker.borrow_mut().take_notes();
         for ((controller, service), notes) in notes {
             self.send(controller, PeerMessage::PoolNotes { service, notes });
         }
@@ -292,30 +306,30 @@
     }
 
     fn end(&self, number: u64, end: CallEnd) {
-        self.book.borrow_mut().end(number, end);
-        self.noted.notify_one();
+        self.tracker.borrow_mut().end(number, end);
+        self.notes_pending.notify_one();
     }
 }
 
 /// Sends notes as calls end, until the process exits.
 pub(super) async fn send_notes(client: Rc<SchedulerClient>) {
     loop {
-        client.noted.notified().await;
+        client.notes_pending.notified().await;
         client.send_notes();
     }
 }
 
 /// Periodically sends running calls to their schedulers, and once more after the last call of a
 /// service ended.
-pub(super) async fn repeat_running(client: Rc<SchedulerClient>) {
+pub(super) async fn resend_running_calls(client: Rc<SchedulerClient>) {
     let mut busy_before = BTreeSet::new();
     loop {
-        sleep(RUNNING_INTERVAL).await;
-        let schedulers = client.book.borrow().schedulers();
+        sleep(RESEND_INTERVAL).await;
+        let schedulers = client.tracker.borrow().schedulers();
         let mut busy = BTreeSet::new();
         for (service, controller, is_busy) in schedulers {
             if is_busy || busy_before.contains(&service) {
-                client.tell_running(&service, controller);
+                client.send_running_calls(&service, controller);
             }
             if is_busy {
                 busy.insert(service);
@@ -329,20 +343,20 @@
 pub(super) struct ScheduledCall {
     client: Rc<SchedulerClient>,
     number: u64,
-    is_over: bool,
+    has_ended: bool,
 }
 
 impl ScheduledCall {
     /// Reports the end of the call.
     pub(super) fn end(mut self, end: CallEnd) {
-        self.is_over = true;
+        self.has_ended = true;
         self.client.end(self.number, end);
     }
 }
 
 impl Drop for ScheduledCall {
     fn drop(&mut self) {
-        if !self.is_over {
+        if !self.has_ended {
             self.client.end(self.number, CallEnd::Given);
         }
     }
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -23,7 +23,7 @@
 use super::policy::{Mechanism, Policy};
 use super::quota::exchange_permits;
 use super::refusal::Refusal;
-use super::schedule::{SchedulerClient, repeat_running, send_notes};
+use super::schedule::{SchedulerClient, resend_running_calls, send_notes};
 use super::stream::forward_by_kind;
 use crate::follower::{FleetFollower, FollowerKind};
 use crate::http::{BodyError, HttpTiming, connection_of, listen, serve};
@@ -143,7 +143,7 @@
     });
     if core.policy.uses(Mechanism::PoolScheduler) {
         actix_rt::spawn(send_notes(core.schedulers.clone()));
-        actix_rt::spawn(repeat_running(core.schedulers.clone()));
+        actix_rt::spawn(resend_running_calls(core.schedulers.clone()));
     }
     actix_rt::spawn(follow_fleet(core.clone()));
     actix_rt::spawn(tidy(core.clone()));
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -72,9 +72,9 @@
         (_, Err(refusal)) | (Err(refusal), _) => return refuse(attempts, refusal),
     };
     attempts.body = composed.body;
-    attempts.held.extend(composed.hint);
+    attempts.cached_prompts.extend(composed.hint);
     if let Some(reservation) = &mut reservation {
-        attempts.held.extend(reservation.take_hints());
+        attempts.cached_prompts.extend(reservation.take_hints());
     }
     if reservation.as_ref().is_some_and(TokenReservation::is_first) {
         attempts.standing = Standing::New;
--- a/crates/courseshed-edge/tests/call_book.rs
+++ b/crates/courseshed-edge/tests/call_book.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use courseshed_edge::gateway::{CallBook, SILENT_REST};
+use courseshed_edge::gateway::{CallTracker, UNRESPONSIVE_COOLDOWN};
 use courseshed_pool::{CallEnd, CallNote};
 use courseshed_types::{NodeId, ServerKey};
 
@@ -19,7 +19,7 @@
 
 #[test]
 fn all_gateways_choose_the_same_controller_whatever_the_order_of_their_lists() {
-    let book = CallBook::new(1);
+    let book = CallTracker::new(1);
     let reversed: Vec<NodeId> = CONTROLLERS.into_iter().rev().collect();
     let mut chosen = BTreeMap::new();
     for index in 0..64 {
@@ -34,43 +34,43 @@
 
 #[test]
 fn a_silent_controller_is_passed_over_for_a_while_by_all_services() {
-    let mut book = CallBook::new(1);
+    let mut book = CallTracker::new(1);
     let first = book.scheduler_of("s", &CONTROLLERS, NOW).expect("one");
-    book.rest(first, NOW);
+    book.start_cooldown(first, NOW);
     for index in 0..64 {
         let service = format!("service-{index}");
         assert_ne!(book.scheduler_of(&service, &CONTROLLERS, NOW), Some(first));
     }
-    let later = NOW + SILENT_REST;
+    let later = NOW + UNRESPONSIVE_COOLDOWN;
     assert_eq!(book.scheduler_of("s", &CONTROLLERS, later), Some(first));
     for controller in CONTROLLERS {
-        book.rest(controller, NOW);
+        book.start_cooldown(controller, NOW);
     }
     assert_eq!(book.scheduler_of("s", &CONTROLLERS, NOW), None);
 }
 
 #[test]
 fn a_later_life_of_a_gateway_uses_none_of_the_numbers_of_an_earlier_one() {
-    let mut earlier = CallBook::new(1_000);
-    let mut later = CallBook::new(1_001);
+    let mut earlier = CallTracker::new(1_000);
+    let mut later = CallTracker::new(1_001);
     let mut last = 0;
     for _ in 0..10_000 {
-        let (number, _) = earlier.begin_waiting("s", CONTROLLERS[0]);
+        let (number, _) = earlier.begin_queued("s", CONTROLLERS[0]);
         assert!(number > last);
         last = number;
         earlier.end(number, CallEnd::Given);
     }
-    let (first, _) = later.begin_waiting("s", CONTROLLERS[0]);
+    let (first, _) = later.begin_queued("s", CONTROLLERS[0]);
     assert!(first > last);
 }
 
 #[test]
 fn each_controller_that_knows_a_number_is_told_its_end_once() {
-    let mut book = CallBook::new(1);
-    let (number, _) = book.begin_waiting("s", CONTROLLERS[0]);
-    book.note_granted(number, ENGINE, NOW);
-    book.tell_running("s", CONTROLLERS[1], NOW);
-    book.tell_running("s", CONTROLLERS[1], NOW);
+    let mut book = CallTracker::new(1);
+    let (number, _) = book.begin_queued("s", CONTROLLERS[0]);
+    book.record_grant(number, ENGINE, NOW);
+    book.running_calls("s", CONTROLLERS[1], NOW);
+    book.running_calls("s", CONTROLLERS[1], NOW);
     book.end(number, WHOLE);
     book.end(number, CallEnd::Given);
     let notes = book.take_notes();
@@ -86,14 +86,14 @@
 
 #[test]
 fn a_scheduler_is_told_the_calls_at_engines_of_its_own_service_only() {
-    let mut book = CallBook::new(1);
-    let (granted, _) = book.begin_waiting("s", CONTROLLERS[0]);
-    book.note_granted(granted, ENGINE, NOW);
+    let mut book = CallTracker::new(1);
+    let (granted, _) = book.begin_queued("s", CONTROLLERS[0]);
+    book.record_grant(granted, ENGINE, NOW);
     let local = book.begin_running("s", ENGINE, NOW);
-    book.begin_waiting("s", CONTROLLERS[0]);
+    book.begin_queued("s", CONTROLLERS[0]);
     book.begin_running("t", ENGINE, NOW);
     let later = NOW + Duration::from_millis(40);
-    let running = book.tell_running("s", CONTROLLERS[0], later);
+    let running = book.running_calls("s", CONTROLLERS[0], later);
     let numbers: Vec<u64> = running.iter().map(|call| call.number).collect();
     assert_eq!(numbers, [granted, local]);
     assert!(
@@ -105,16 +105,16 @@
 
 #[test]
 fn a_scheduler_that_is_another_one_is_noticed() {
-    let mut book = CallBook::new(1);
-    let is_other = |book: &mut CallBook, controller| book.begin_waiting("s", controller).1;
+    let mut book = CallTracker::new(1);
+    let is_other = |book: &mut CallTracker, controller| book.begin_queued("s", controller).1;
     assert!(is_other(&mut book, CONTROLLERS[0]));
     assert!(!is_other(&mut book, CONTROLLERS[0]));
-    assert!(!book.note_answer("s", CONTROLLERS[0], 100));
-    assert!(!book.note_answer("s", CONTROLLERS[0], 100));
-    assert!(book.note_answer("s", CONTROLLERS[0], 101));
-    assert!(!book.note_answer("s", CONTROLLERS[0], 101));
+    assert!(!book.record_reply("s", CONTROLLERS[0], 100));
+    assert!(!book.record_reply("s", CONTROLLERS[0], 100));
+    assert!(book.record_reply("s", CONTROLLERS[0], 101));
+    assert!(!book.record_reply("s", CONTROLLERS[0], 101));
     assert!(is_other(&mut book, CONTROLLERS[1]));
     // An answer that was under way when the calls moved changes nothing.
-    assert!(!book.note_answer("s", CONTROLLERS[0], 102));
+    assert!(!book.record_reply("s", CONTROLLERS[0], 102));
     assert!(is_other(&mut book, CONTROLLERS[0]));
 }
--- a/crates/courseshed-edge/tests/pool_scheduling.rs
+++ b/crates/courseshed-edge/tests/pool_scheduling.rs
@@ -9,7 +9,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use courseshed_edge::gateway::{HeldTerms, Mechanism, Policy, SILENT_REST};
+use courseshed_edge::gateway::{HeldTerms, Mechanism, Policy, UNRESPONSIVE_COOLDOWN};
 use courseshed_edge::peers::{Peers, start_peers};
 use courseshed_edge::protocol::{
     FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest, node_at,
@@ -155,7 +155,7 @@
         assert!(answer.ends_with("hello"), "{answer}");
     }
     // Each controller is asked once in the time that it is passed over for.
-    let rests = began.elapsed().as_millis() / SILENT_REST.as_millis();
+    let rests = began.elapsed().as_millis() / UNRESPONSIVE_COOLDOWN.as_millis();
     let most = 3 * (1 + usize::try_from(rests).expect("a number"));
     assert!(fleet.asked() <= most, "{} > {most}", fleet.asked());
     assert!(fleet.asked() >= 2);
