--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::assigned::Assigned;
+use super::assignment::Assignment;
 use super::attempts::{Attempts, LEAST_TIME, milliseconds};
 use super::choice::Demand;
 use super::policy::Mechanism;
@@ -31,7 +31,7 @@
 
 /// The result of asking the pool scheduler.
 enum Scheduled {
-    Engine(Assigned),
+    Engine(Assignment),
     /// No engine was granted, so the gateway chooses a server itself. Its server list may be more
     /// recent than the scheduler's.
     Undecided,
@@ -39,13 +39,13 @@
 
 impl Attempts {
     /// Selects the server for the next attempt; `None` if none is available.
-    pub(super) async fn assign(&mut self) -> Result<Option<Assigned>, Refusal> {
+    pub(super) async fn assign(&mut self) -> Result<Option<Assignment>, Refusal> {
         if let Some(reserved) = self.reserved.take()
             && self
                 .core
                 .servers
                 .borrow()
-                .listed(&reserved.chosen.id)
+                .available(&reserved.chosen.id)
                 .is_some()
         {
             return Ok(Some(reserved));
@@ -96,11 +96,15 @@
                 EngineReply::Unknown => return Ok(Scheduled::Undecided),
                 EngineReply::TooLate => return Err(self.out_of_time()),
             };
-            let found = self.core.servers.borrow().listed_as(&self.service, key);
+            let found = self
+                .core
+                .servers
+                .borrow()
+                .available_by_key(&self.service, key);
             match found.filter(|_| !excluded.contains(&key)) {
                 Some(chosen) => {
                     self.record_choice(BY_SCHEDULER, inputs);
-                    let assigned = Assigned::new(chosen, Some(call));
+                    let assigned = Assignment::new(chosen, Some(call));
                     return Ok(Scheduled::Engine(assigned));
                 }
                 None => excluded.push(key),
@@ -111,14 +115,14 @@
 
     /// Chooses a server by this gateway's own statistics. In a pool, the call is later reported to
     /// the scheduler as running.
-    fn choose_locally(&mut self, excluded: &[String]) -> Option<Assigned> {
+    fn choose_locally(&mut self, excluded: &[String]) -> Option<Assignment> {
         let chosen = {
             let table = self.core.servers.borrow();
             let demand = Demand {
                 service: &self.service,
                 zone: &self.core.zone,
                 parts: &self.parts,
-                most_in_flight: table.part_of(self.connection_limit),
+                max_in_flight: table.share_of_limit(self.connection_limit),
                 homes: &self.homes,
             };
             table.choose(&demand, excluded, self.core.clock.now(), rand::random())?
@@ -127,19 +131,19 @@
         let is_scheduled = self.is_pool && self.core.policy.uses(Mechanism::PoolScheduler);
         let key = ServerKey::of(&chosen.id);
         let call = is_scheduled.then(|| self.core.schedulers.begin_local(&self.service, key));
-        Some(Assigned::new(chosen, call))
+        Some(Assignment::new(chosen, call))
     }
 
     /// Selects the last server again; this does not count towards the maximum number of servers.
-    fn retry_last_server(&mut self) -> Option<Assigned> {
+    fn retry_last_server(&mut self) -> Option<Assignment> {
         if self.same_server_retries >= MAX_SAME_SERVER_RETRIES {
             return None;
         }
         self.same_server_retries += 1;
         let last = self.attempted_servers.last()?;
-        let chosen = self.core.servers.borrow().listed(last)?;
+        let chosen = self.core.servers.borrow().available(last)?;
         self.record_choice(BY_GATEWAY, DecisionInputs::default());
-        Some(Assigned::new(chosen, None))
+        Some(Assignment::new(chosen, None))
     }
 
     fn record_choice(&mut self, by: &'static str, inputs: DecisionInputs) {
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -19,11 +19,10 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::access::Caller;
-use super::assigned::Assigned;
+use super::assignment::Assignment;
 use super::call::{CallEnvelope, SendTerms};
 use super::call_log::CallLog;
 use super::choice::ChoiceInputs;
-use super::chosen::Chosen;
 use super::core::{GatewayCore, InFlight};
 use super::memory_budget::BufferKind;
 use super::memory_tracker::RequestMemory;
@@ -31,7 +30,8 @@
 use super::quota::{Permit, Quotas};
 use super::refusal::Refusal;
 use super::schedule::ScheduledCall;
-use super::servers::Report;
+use super::selected_server::SelectedServer;
+use super::servers::CallReport;
 use super::upstream::{Upstream, UpstreamError};
 
 /// Prompt tokens attributed to a request that has only an affinity key.
@@ -162,7 +162,7 @@
     pub excluded_servers: Vec<String>,
     pub same_server_retries: usize,
     /// A selected server to which nothing was sent because the permit expired.
-    pub reserved: Option<Assigned>,
+    pub reserved: Option<Assignment>,
     /// Whether a server failed after it received the request, even if that server is gone by now.
     may_have_run: bool,
 }
@@ -225,7 +225,7 @@
             let Some(assigned) = self.assign().await? else {
                 return Err(self.out_of_servers());
             };
-            let Assigned {
+            let Assignment {
                 chosen,
                 call,
                 in_flight,
@@ -251,7 +251,7 @@
             if self.permit.as_mut().is_some_and(|permit| !permit.send()) {
                 upstream.finish();
                 self.permit = None;
-                self.reserved = Some(Assigned {
+                self.reserved = Some(Assignment {
                     chosen,
                     call,
                     in_flight: Some(in_flight),
@@ -348,14 +348,14 @@
         let key = ServerKey::of(&opened.server);
         let cached = CachedPrompt::after_answer(key, &self.parts, generated);
         let mut servers = self.core.servers.borrow_mut();
-        servers.note_finished(&opened.server, &cached, took, now);
+        servers.record_finished(&opened.server, &cached, took, now);
         cached
     }
 
     /// Reports the outcome of a complete response to the other gateways and, if not yet done, the
     /// end of the call to the pool scheduler.
     pub(super) fn note_answered(&self, opened: &mut Opened) {
-        let report = Report::of_answer(opened.head.status);
+        let report = CallReport::of_answer(opened.head.status);
         self.core.report(&opened.server, report);
         opened.end_call(opened.end_without_stream());
     }
@@ -374,7 +374,7 @@
         opened.first_part.get_or_insert(took);
         let unread = opened.unread_tokens;
         let mut servers = self.core.servers.borrow_mut();
-        servers.note_read(&opened.server, &self.parts, unread, took, now);
+        servers.record_first_chunk(&opened.server, &self.parts, unread, took, now);
     }
 
     pub(super) fn time_left(&self) -> Duration {
@@ -400,7 +400,7 @@
     /// Records that a server failed after it received the request.
     pub(super) fn note_broken(&mut self, server: &str, error: &UpstreamError) {
         self.note_lost(server, error);
-        self.core.report(server, Report::Failed);
+        self.core.report(server, CallReport::Failed);
     }
 
     /// Records that the response was truncated through no fault of the server.
@@ -422,13 +422,13 @@
         Ok(())
     }
 
-    async fn connect(&self, chosen: &Chosen) -> Result<Upstream, UpstreamError> {
+    async fn connect(&self, chosen: &SelectedServer) -> Result<Upstream, UpstreamError> {
         let pool = self.core.pool.clone();
         let connected = pool.connect(&chosen.id, chosen.address, self.body.len());
         let upstream = connected.await?;
         if let Some(took) = upstream.connected_in() {
             let mut servers = self.core.servers.borrow_mut();
-            servers.note_connected(&chosen.id, &self.core.zone, took);
+            servers.record_connection(&chosen.id, &self.core.zone, took);
         }
         Ok(upstream)
     }
@@ -458,7 +458,7 @@
     async fn send(
         &mut self,
         mut upstream: Upstream,
-        chosen: &Chosen,
+        chosen: &SelectedServer,
         resume_after: Option<u64>,
     ) -> Result<(ResponseHead, Upstream, Instant), UpstreamError> {
         let head = self.write_head(chosen, resume_after);
@@ -498,7 +498,7 @@
         times.silence_borne(&self.route.name)
     }
 
-    fn write_head(&self, chosen: &Chosen, resume_after: Option<u64>) -> BytesMut {
+    fn write_head(&self, chosen: &SelectedServer, resume_after: Option<u64>) -> BytesMut {
         let terms = SendTerms {
             time_left: Some(self.time_left()),
             server: chosen.name.clone(),
@@ -514,16 +514,16 @@
     }
 
     /// Whether the server refused the call without executing it, so that another one may be tried.
-    fn is_refused(&self, head: &ResponseHead, chosen: &Chosen) -> bool {
+    fn is_refused(&self, head: &ResponseHead, chosen: &SelectedServer) -> bool {
         let is_not_run = self.core.codec.read_answer(head).is_not_run
             || head.status == StatusCode::MISDIRECTED_REQUEST;
         if !is_not_run || head.status == StatusCode::BAD_REQUEST {
             return false;
         }
         let report = if head.status == StatusCode::MISDIRECTED_REQUEST {
-            Report::Failed
+            CallReport::Failed
         } else {
-            Report::Full
+            CallReport::Rejected
         };
         self.core.report(&chosen.id, report);
         true
@@ -535,11 +535,11 @@
         self.log.refused_by += 1;
     }
 
-    fn on_error(&mut self, chosen: &Chosen, error: &UpstreamError) -> Result<(), Refusal> {
+    fn on_error(&mut self, chosen: &SelectedServer, error: &UpstreamError) -> Result<(), Refusal> {
         match error {
             UpstreamError::NotSent { .. } => {
                 self.log.note_error(&chosen.id, error);
-                self.core.report(&chosen.id, Report::Failed);
+                self.core.report(&chosen.id, CallReport::Failed);
                 // An unreachable server does not count as an attempt.
                 self.exclude(&chosen.id);
                 Ok(())
--- a/crates/courseshed-edge/src/gateway/call_tracker.rs
+++ b/crates/courseshed-edge/src/gateway/call_tracker.rs
@@ -169,7 +169,7 @@
 
     /// The running calls of a service, for a controller, which is sent their end notes from then
     /// on.
-    pub fn running_calls(
+    pub fn report_running(
         &mut self,
         service: &str,
         controller: NodeId,
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -15,20 +15,20 @@
 use courseshed_routing::HomeRegions;
 use courseshed_types::{Distance, PromptPart, ServerKey};
 
-use super::chosen::Chosen;
-use super::cost::{OTHER_ZONE_MS, Prospect, ServicePace, expected_ms, would_wait};
-use super::directory::{Preference, preference};
+use super::cost::{CROSS_ZONE_COST_MS, CostInputs, ServiceLatency, expected_cost_ms, would_queue};
+use super::directory::{Preference, rendezvous_rank};
 use super::policy::Mechanism;
-use super::servers::{Seen, ServerTable};
+use super::selected_server::SelectedServer;
+use super::servers::{ServerStats, ServerTable};
 
 /// Maximum cost, in milliseconds, by which the shared preference order ranks servers.
-const PREFERENCE_MS: f64 = 4.0;
+const MAX_PREFERENCE_COST_MS: f64 = 4.0;
 
 /// Factor by which the candidate set grows while all candidates are crowded.
-const WIDER: usize = 4;
+const WIDTH_GROWTH: usize = 4;
 /// Candidate set growth at which the search stops if any candidate is available; beyond it, more
 /// candidates hardly improve the choice.
-const MOST_WIDTH: usize = 16;
+const MAX_WIDTH: usize = 16;
 
 /// The requirements of a call for its server.
 #[derive(Clone, Copy, Debug)]
@@ -40,7 +40,7 @@
     /// The prompt segments; empty if cached prompts are irrelevant.
     pub parts: &'a [PromptPart],
     /// Maximum number of calls of this gateway at one server.
-    pub most_in_flight: u32,
+    pub max_in_flight: u32,
     /// The regions in which the call may be served.
     pub homes: &'a HomeRegions,
 }
@@ -68,7 +68,7 @@
         excluded: &[String],
         now: Duration,
         tie: u64,
-    ) -> Option<Chosen> {
+    ) -> Option<SelectedServer> {
         let is_shared = self.policy.uses(Mechanism::SharedPreference);
         let shared_salt = demand.parts.first().filter(|_| is_shared);
         let (salt, preference) = match shared_salt {
@@ -78,35 +78,39 @@
         let all = self.directory.count(demand.service);
         let mut width = 1;
         loop {
-            let weighed = self.weighed(demand, preference, width, now);
-            let is_all = weighed.len() >= all;
-            let open: Vec<&Seen> = weighed
+            let candidates = self.candidates(demand, preference, width, now);
+            let is_all = candidates.len() >= all;
+            let open: Vec<&ServerStats> = candidates
                 .iter()
-                .map(|seen| &**seen)
-                .filter(|seen| self.takes_calls(&seen.server))
-                .filter(|seen| demand.homes.allows(self.zones.region_of(&seen.server.zone)))
-                .filter(|seen| self.should_be_warm(&seen.server, now))
-                .filter(|seen| !excluded.contains(&seen.server.id))
-                .filter(|seen| seen.in_flight < demand.most_in_flight)
+                .map(|stats| &**stats)
+                .filter(|stats| self.is_eligible(&stats.server))
+                .filter(|stats| {
+                    demand
+                        .homes
+                        .allows(self.zones.region_of(&stats.server.zone))
+                })
+                .filter(|stats| self.is_expected_warm(&stats.server, now))
+                .filter(|stats| !excluded.contains(&stats.server.id))
+                .filter(|stats| stats.in_flight < demand.max_in_flight)
                 .collect();
-            let chosen = self.choose_among(self.warm_first(open), demand, now, salt);
-            let is_last = is_all || (width >= MOST_WIDTH && chosen.is_some());
+            let chosen = self.choose_among(self.prefer_warm(open), demand, now, salt);
+            let is_last = is_all || (width >= MAX_WIDTH && chosen.is_some());
             if is_last || chosen.is_some_and(|chosen| !chosen.is_crowded()) {
-                return chosen.map(|seen| Chosen::of(&seen.server));
+                return chosen.map(|stats| SelectedServer::of(&stats.server));
             }
-            width *= WIDER;
+            width *= WIDTH_GROWTH;
         }
     }
 
     /// The candidates for a call: the preferred servers, those that have the call's own prompt
     /// segments cached, and avoided ones that may be due for a probe.
-    fn weighed(
+    fn candidates(
         &self,
         demand: &Demand,
         preference: Preference,
         width: usize,
         now: Duration,
-    ) -> Vec<Cow<'_, Seen>> {
+    ) -> Vec<Cow<'_, ServerStats>> {
         let servers = self
             .directory
             .candidates(demand.service, demand.zone, preference, width);
@@ -129,125 +133,132 @@
         let others: Vec<Arc<Server>> = others.into_iter().cloned().collect();
         let servers = servers.into_iter().chain(others);
         servers
-            .map(|server| match self.seen.get(&server.id) {
-                Some(seen) => Cow::Borrowed(seen),
-                None => Cow::Owned(Seen::new(server)),
+            .map(|server| match self.stats.get(&server.id) {
+                Some(stats) => Cow::Borrowed(stats),
+                None => Cow::Owned(ServerStats::new(server)),
             })
             .collect()
     }
 
     fn choose_among<'a>(
         &self,
-        open: Vec<&'a Seen>,
+        open: Vec<&'a ServerStats>,
         demand: &Demand,
         now: Duration,
         salt: u64,
-    ) -> Option<&'a Seen> {
-        let probed = |seen: &&&Seen| self.standing(seen, now) == Standing::Probed;
+    ) -> Option<&'a ServerStats> {
+        let probed = |stats: &&&ServerStats| self.standing(stats, now) == Standing::Probed;
         if let Some(probed) = open.iter().find(probed) {
             return Some(probed);
         }
-        let awake: Vec<&Seen> = open
+        let trusted: Vec<&ServerStats> = open
             .iter()
             .copied()
-            .filter(|seen| seen.rests_until <= now)
-            .filter(|seen| self.standing(seen, now) == Standing::Trusted)
+            .filter(|stats| stats.backoff_until <= now)
+            .filter(|stats| self.standing(stats, now) == Standing::Trusted)
             .collect();
-        let candidates = if awake.is_empty() { open } else { awake };
-        let usual_ms = median_ms(&candidates);
-        let pace = self.pace_of(demand.service);
-        let cost = |seen: &Seen| {
-            let prospect = self.prospect(seen, demand, usual_ms, now);
-            expected_ms(&prospect, &pace) + PREFERENCE_MS * seen.preference(salt)
+        let candidates = if trusted.is_empty() { open } else { trusted };
+        let median_latency_ms = median_ms(&candidates);
+        let latency = self.latency_of(demand.service);
+        let cost = |stats: &ServerStats| {
+            let cost_inputs = self.cost_inputs(stats, demand, median_latency_ms, now);
+            expected_cost_ms(&cost_inputs, &latency)
+                + MAX_PREFERENCE_COST_MS * stats.preference_rank(salt)
         };
-        let costs = candidates.into_iter().map(|seen| (cost(seen), seen));
+        let costs = candidates.into_iter().map(|stats| (cost(stats), stats));
         let (_, chosen) = costs.min_by(|left, right| left.0.total_cmp(&right.0))?;
         Some(chosen)
     }
 
     /// The servers known to be warm, or all if there are none.
-    fn warm_first<'a>(&self, open: Vec<&'a Seen>) -> Vec<&'a Seen> {
-        let warm: Vec<&Seen> = open
+    fn prefer_warm<'a>(&self, open: Vec<&'a ServerStats>) -> Vec<&'a ServerStats> {
+        let warm: Vec<&ServerStats> = open
             .iter()
             .copied()
-            .filter(|seen| !self.is_cold(&seen.server))
+            .filter(|stats| !self.is_cold(&stats.server))
             .collect();
         if warm.is_empty() { open } else { warm }
     }
 
-    fn prospect(&self, seen: &Seen, demand: &Demand, usual_ms: f64, now: Duration) -> Prospect {
+    fn cost_inputs(
+        &self,
+        stats: &ServerStats,
+        demand: &Demand,
+        median_latency_ms: f64,
+        now: Duration,
+    ) -> CostInputs {
         let unread_tokens = if self.policy.uses(Mechanism::PromptMemory) {
-            self.prompts.unread_tokens(seen.key, demand.parts, now)
+            self.prompts.unread_tokens(stats.key, demand.parts, now)
         } else {
             0
         };
         let slowness = if self.policy.uses(Mechanism::ServerPace) {
-            seen.slowness(usual_ms)
+            stats.slowness(median_latency_ms)
         } else {
             1.0
         };
-        Prospect {
-            calls: seen.calls(),
-            slots: seen.server.slots,
+        CostInputs {
+            calls: stats.calls(),
+            slots: stats.server.slots,
             slowness,
             unread_tokens,
-            way_ms: self.way_ms(demand.zone, &seen.server.zone),
+            network_ms: self.network_ms(demand.zone, &stats.server.zone),
         }
     }
 
     /// Network cost of a call between two zones, in milliseconds.
-    fn way_ms(&self, from: &str, to: &str) -> f64 {
+    fn network_ms(&self, from: &str, to: &str) -> f64 {
         if !self.policy.uses(Mechanism::OwnZone) {
             return 0.0;
         }
         match self.zones.distance(from, to) {
             Distance::SameZone => 0.0,
-            Distance::SameRegion => OTHER_ZONE_MS,
-            Distance::OtherRegion => self.region_way.call_ms(),
+            Distance::SameRegion => CROSS_ZONE_COST_MS,
+            Distance::OtherRegion => self.region_latency.call_ms(),
         }
     }
 
-    fn pace_of(&self, service: &str) -> ServicePace {
-        let estimate = self.paces.get(service).copied().unwrap_or_default();
-        estimate.pace()
+    fn latency_of(&self, service: &str) -> ServiceLatency {
+        let estimate = self.latencies.get(service).copied().unwrap_or_default();
+        estimate.latency()
     }
 
     /// The statistics of a server that a call is about to be sent to.
     #[must_use]
     pub fn choice_inputs(&self, id: &str, parts: &[PromptPart], now: Duration) -> ChoiceInputs {
-        let calls = self.seen.get(id).map_or(0, Seen::calls);
+        let calls = self.stats.get(id).map_or(0, ServerStats::calls);
         ChoiceInputs {
             calls,
-            loads_age: now.saturating_sub(self.others_noted),
+            loads_age: now.saturating_sub(self.load_reported_at),
             unread_tokens: self.prompts.unread_tokens(ServerKey::of(id), parts, now),
         }
     }
 }
 
-impl Seen {
+impl ServerStats {
     /// The server's latency relative to the median of its service.
-    fn slowness(&self, usual_ms: f64) -> f64 {
-        if self.usual_ms == 0.0 || usual_ms == 0.0 {
+    fn slowness(&self, median_latency_ms: f64) -> f64 {
+        if self.average_ms == 0.0 || median_latency_ms == 0.0 {
             return 1.0;
         }
-        (self.usual_ms / usual_ms).clamp(0.5, 10.0)
+        (self.average_ms / median_latency_ms).clamp(0.5, 10.0)
     }
 
     /// The server's rank in the shared preference order for `salt`, from 0 (first) to 1.
-    fn preference(&self, salt: u64) -> f64 {
-        preference(self.key, salt) as f64 / u64::MAX as f64
+    fn preference_rank(&self, salt: u64) -> f64 {
+        rendezvous_rank(self.key, salt) as f64 / u64::MAX as f64
     }
 
     /// Whether a further call is expected to queue.
     fn is_crowded(&self) -> bool {
-        would_wait(self.calls(), self.server.slots)
+        would_queue(self.calls(), self.server.slots)
     }
 }
 
-fn median_ms(candidates: &[&Seen]) -> f64 {
+fn median_ms(candidates: &[&ServerStats]) -> f64 {
     let mut times: Vec<f64> = candidates
         .iter()
-        .map(|seen| seen.usual_ms)
+        .map(|stats| stats.average_ms)
         .filter(|time| *time > 0.0)
         .collect();
     times.sort_by(f64::total_cmp);
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -20,7 +20,7 @@
 use super::policy::Policy;
 use super::quota::Quotas;
 use super::schedule::SchedulerClient;
-use super::servers::{Report, ServerTable};
+use super::servers::{CallReport, ServerTable};
 use super::upstream::UpstreamPool;
 use crate::clock::Clock;
 use crate::follower::FleetFollower;
@@ -149,25 +149,25 @@
         self.answer_times.borrow_mut().retain(is_there);
     }
 
-    pub(super) fn report(&self, server: &str, report: Report) {
+    pub(super) fn report(&self, server: &str, report: CallReport) {
         let now = self.clock.now();
         let mut servers = self.servers.borrow_mut();
         servers.report(server, report, now);
-        servers.advance_outcomes_after(server, report, now);
+        servers.reevaluate_after(server, report, now);
         self.tell_changes(&mut servers);
     }
 
     /// Re-evaluates which servers are avoided.
-    pub(super) fn advance_outcomes(&self) {
+    pub(super) fn reevaluate_avoidance(&self) {
         let mut servers = self.servers.borrow_mut();
-        servers.advance_outcomes(self.clock.now());
+        servers.reevaluate_avoidance(self.clock.now());
         self.tell_changes(&mut servers);
     }
 
     /// Re-evaluates which servers are avoided and refreshes the metric, since servers may have been
     /// delisted.
     pub(super) fn tell_avoided(&self) {
-        self.advance_outcomes();
+        self.reevaluate_avoidance();
         self.metrics.set_avoided(&self.servers.borrow().avoided());
     }
 
@@ -222,7 +222,7 @@
         let now = core.clock.now();
         let mut servers = core.servers.borrow_mut();
         servers.begin(server);
-        servers.note_sent(server, now);
+        servers.record_sent(server, now);
         drop(servers);
         Self {
             core: core.clone(),
--- a/crates/courseshed-edge/src/gateway/directory.rs
+++ b/crates/courseshed-edge/src/gateway/directory.rs
@@ -3,8 +3,8 @@
 //! In a large fleet, costing every server for every call is too expensive. The candidates are the
 //! servers of the own zone that come first in the rendezvous hashing order of the prompt, which all
 //! gateways share, plus some of each other zone; the set grows while they are crowded. Up to
-//! [`OWN_ZONE`] servers in the own zone and [`OTHER_ZONE`] in each other zone, all servers are
-//! candidates.
+//! [`OWN_ZONE_CANDIDATES`] servers in the own zone and [`OTHER_ZONE_CANDIDATES`] in each other
+//! zone, all servers are candidates.
 //!
 //! The cost of a call depends on these limits, and the cost of a list change on the size of the
 //! change; neither depends on the size of the fleet.
@@ -19,14 +19,14 @@
 
 /// Initial number of candidates in the own zone; their slots cover several times the calls that
 /// share one prompt.
-const OWN_ZONE: usize = 128;
+const OWN_ZONE_CANDIDATES: usize = 128;
 /// Initial number of candidates in each other zone.
-const OTHER_ZONE: usize = 32;
+const OTHER_ZONE_CANDIDATES: usize = 32;
 /// Maximum number of prompts whose preference order is cached for a zone.
-const REMEMBERED_PROMPTS: usize = 64;
+const MAX_CACHED_PROMPTS: usize = 64;
 /// Factor by which a cached preference order exceeds the requested size, so that removals rarely
 /// force a new scan of the zone.
-const SPARE: usize = 2;
+const CACHE_OVERSIZE_FACTOR: usize = 2;
 
 /// How candidates are picked among equivalent servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -50,7 +50,7 @@
 struct ZoneServers {
     servers: Vec<Arc<Server>>,
     /// Index in `servers`, by server ID.
-    places: HashMap<String, usize>,
+    positions: HashMap<String, usize>,
     preferred: RefCell<HashMap<u64, PreferredServers>>,
 }
 
@@ -59,11 +59,11 @@
 struct PreferredServers {
     order: Vec<(u64, Arc<Server>)>,
     /// All servers with a rank below this are in `order`.
-    complete_before: u64,
+    complete_below: u64,
 }
 
 /// Rendezvous hashing rank of a server for a salt; the lowest is preferred.
-pub(super) fn preference(server: ServerKey, salt: u64) -> u64 {
+pub(super) fn rendezvous_rank(server: ServerKey, salt: u64) -> u64 {
     xxh3_64_with_seed(&server.0.to_le_bytes(), salt)
 }
 
@@ -74,32 +74,32 @@
         self.listed = list.clone();
         for change in &changes {
             match change {
-                ListChange::Listed(server) => self.put(server),
+                ListChange::Listed(server) => self.insert(server),
                 ListChange::Changed { before, now } => {
-                    self.take_out(before);
-                    self.put(now);
+                    self.remove(before);
+                    self.insert(now);
                 }
-                ListChange::Gone(server) => self.take_out(server),
+                ListChange::Gone(server) => self.remove(server),
             }
         }
         changes
     }
 
-    fn put(&mut self, server: &Arc<Server>) {
+    fn insert(&mut self, server: &Arc<Server>) {
         self.by_key
             .insert(ServerKey::of(&server.id), server.clone());
         let zones = self.services.entry(server.service.clone()).or_default();
         let zone = zones.entry(server.zone.clone()).or_default();
-        zone.put(server);
+        zone.insert(server);
     }
 
-    fn take_out(&mut self, server: &Server) {
+    fn remove(&mut self, server: &Server) {
         self.by_key.remove(&ServerKey::of(&server.id));
         let Some(zones) = self.services.get_mut(&server.service) else {
             return;
         };
         if let Some(zone) = zones.get_mut(&server.zone) {
-            zone.take_out(&server.id);
+            zone.remove(&server.id);
         }
         zones.retain(|_, zone| !zone.servers.is_empty());
         if zones.is_empty() {
@@ -138,9 +138,9 @@
         let mut candidates = Vec::new();
         for (name, zone) in zones {
             let most = if name == own_zone {
-                OWN_ZONE
+                OWN_ZONE_CANDIDATES
             } else {
-                OTHER_ZONE
+                OTHER_ZONE_CANDIDATES
             };
             zone.pick(preference, most * width, &mut candidates);
         }
@@ -149,21 +149,21 @@
 }
 
 impl ZoneServers {
-    fn put(&mut self, server: &Arc<Server>) {
-        self.places.insert(server.id.clone(), self.servers.len());
+    fn insert(&mut self, server: &Arc<Server>) {
+        self.positions.insert(server.id.clone(), self.servers.len());
         self.servers.push(server.clone());
         for (salt, preferred) in self.preferred.get_mut() {
-            preferred.put(*salt, server);
+            preferred.insert(*salt, server);
         }
     }
 
-    fn take_out(&mut self, id: &str) {
-        let Some(place) = self.places.remove(id) else {
+    fn remove(&mut self, id: &str) {
+        let Some(position) = self.positions.remove(id) else {
             return;
         };
-        self.servers.swap_remove(place);
-        if let Some(moved) = self.servers.get(place) {
-            self.places.insert(moved.id.clone(), place);
+        self.servers.swap_remove(position);
+        if let Some(moved) = self.servers.get(position) {
+            self.positions.insert(moved.id.clone(), position);
         }
         for preferred in self.preferred.get_mut().values_mut() {
             preferred.order.retain(|(_, server)| server.id != id);
@@ -187,16 +187,16 @@
     }
 
     fn pick_preferred(&self, salt: u64, most: usize, picked: &mut Vec<Arc<Server>>) {
-        let mut remembered = self.preferred.borrow_mut();
-        if remembered.len() >= REMEMBERED_PROMPTS && !remembered.contains_key(&salt) {
-            remembered.clear();
+        let mut cached = self.preferred.borrow_mut();
+        if cached.len() >= MAX_CACHED_PROMPTS && !cached.contains_key(&salt) {
+            cached.clear();
         }
-        let known = remembered.get(&salt);
+        let known = cached.get(&salt);
         if known.is_none_or(|preferred| preferred.order.len() < most) {
-            let preferred = PreferredServers::of(&self.servers, salt, most * SPARE);
-            remembered.insert(salt, preferred);
+            let preferred = PreferredServers::of(&self.servers, salt, most * CACHE_OVERSIZE_FACTOR);
+            cached.insert(salt, preferred);
         }
-        let order = remembered.get(&salt).into_iter();
+        let order = cached.get(&salt).into_iter();
         let order = order.flat_map(|preferred| &preferred.order);
         picked.extend(order.take(most).map(|(_, server)| server.clone()));
     }
@@ -204,25 +204,25 @@
 
 impl PreferredServers {
     fn of(servers: &[Arc<Server>], salt: u64, count: usize) -> Self {
-        let rank = |server: &Arc<Server>| preference(ServerKey::of(&server.id), salt);
+        let rank = |server: &Arc<Server>| rendezvous_rank(ServerKey::of(&server.id), salt);
         let mut order: Vec<(u64, Arc<Server>)> = servers
             .iter()
             .map(|server| (rank(server), server.clone()))
             .collect();
         order.sort_unstable_by_key(|(rank, _)| *rank);
-        let complete_before = order.get(count).map_or(u64::MAX, |(rank, _)| *rank);
+        let complete_below = order.get(count).map_or(u64::MAX, |(rank, _)| *rank);
         order.truncate(count);
         Self {
             order,
-            complete_before,
+            complete_below,
         }
     }
 
-    fn put(&mut self, salt: u64, server: &Arc<Server>) {
-        let rank = preference(ServerKey::of(&server.id), salt);
-        if rank < self.complete_before {
-            let place = self.order.partition_point(|(other, _)| *other < rank);
-            self.order.insert(place, (rank, server.clone()));
+    fn insert(&mut self, salt: u64, server: &Arc<Server>) {
+        let rank = rendezvous_rank(ServerKey::of(&server.id), salt);
+        if rank < self.complete_below {
+            let position = self.order.partition_point(|(other, _)| *other < rank);
+            self.order.insert(position, (rank, server.clone()));
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/load.rs
+++ b/crates/courseshed-edge/src/gateway/load.rs
@@ -34,12 +34,12 @@
         let sent = own.lines();
         let received = if is_idle && was_idle {
             let now = core.clock.now();
-            core.servers.borrow_mut().forget_old_loads(now);
+            core.servers.borrow_mut().expire_load_report(now);
             0
         } else {
             exchange(&core, &peers, own).await
         };
-        core.advance_outcomes();
+        core.reevaluate_avoidance();
         was_idle = is_idle;
         pause = pause_after_reports(2, sent + received, INTERVAL);
         sleep(pause).await;
@@ -56,9 +56,9 @@
     let now = core.clock.now();
     let mut servers = core.servers.borrow_mut();
     let Ok(PeerReply::OthersLoad(others)) = reply else {
-        servers.forget_old_loads(now);
+        servers.expire_load_report(now);
         return 0;
     };
-    servers.note_others(&others, now);
+    servers.apply_load_report(&others, now);
     others.lines()
 }
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -4,13 +4,12 @@
 mod access;
 mod answer_times;
 mod assign;
-mod assigned;
+mod assignment;
 mod attempts;
 mod call;
 mod call_log;
 mod call_tracker;
 mod choice;
-mod chosen;
 mod core;
 mod cost;
 mod directory;
@@ -27,6 +26,7 @@
 mod quota;
 mod refusal;
 mod schedule;
+mod selected_server;
 mod server;
 mod servers;
 mod short_codec;
@@ -40,8 +40,7 @@
 };
 pub use call_tracker::{CallTracker, UNRESPONSIVE_COOLDOWN};
 pub use choice::Demand;
-pub use chosen::Chosen;
-pub use cost::{PaceEstimate, Prospect, ServicePace, expected_ms};
+pub use cost::{CostInputs, LatencyEstimate, ServiceLatency, expected_cost_ms};
 pub use events::{Event, EventSplitter};
 pub use memory_budget::{
     BufferKind, ConnectionId, Disconnect, DisconnectReason, HeldTerms, MemoryBudget,
@@ -50,6 +49,7 @@
 pub use policy::{Mechanism, Policy, UnknownMechanism};
 pub use prompt_memory::PromptMemory;
 pub use refusal::Refusal;
+pub use selected_server::SelectedServer;
 pub use server::{GatewayError, GatewaySettings, run};
-pub use servers::{Report, ServerTable, ServingTerms};
+pub use servers::{CallReport, ServerTable, ServingConstraints};
 pub use short_codec::ShortCodec;
--- a/crates/courseshed-edge/src/gateway/outcomes.rs
+++ b/crates/courseshed-edge/src/gateway/outcomes.rs
@@ -13,50 +13,50 @@
 
 use super::outcome_change::OutcomeChange;
 use super::policy::Mechanism;
-use super::servers::{Report, Seen, ServerTable};
+use super::servers::{CallReport, ServerStats, ServerTable};
 
 /// Maximum number of servers without reported calls that count as healthy in the majority required
 /// to avoid a server.
-const MOST_SILENT: usize = 64;
+const MAX_UNREPORTED_SERVERS: usize = 64;
 
 impl ServerTable {
     /// Re-evaluates the servers of all services that have failed calls.
-    pub fn advance_outcomes(&mut self, now: Duration) {
+    pub fn reevaluate_avoidance(&mut self, now: Duration) {
         let services: BTreeSet<String> = self
-            .seen
+            .stats
             .values()
-            .filter(|seen| seen.avoidance.is_on() || seen.outcomes(now).failed >= 1.0)
-            .map(|seen| seen.server.service.clone())
+            .filter(|stats| stats.avoidance.is_on() || stats.outcomes(now).failed >= 1.0)
+            .map(|stats| stats.server.service.clone())
             .collect();
         for service in services {
-            self.advance_outcomes_of(&service, now);
+            self.reevaluate_service(&service, now);
         }
     }
 
-    fn advance_outcomes_of(&mut self, service: &str, now: Duration) {
+    fn reevaluate_service(&mut self, service: &str, now: Duration) {
         if !self.policy.uses(Mechanism::SharedOutcomes) {
             return;
         }
         let listed = self.directory.count(service);
-        let seen_here = self.seen.values();
-        let seen_here = seen_here.filter(|seen| seen.server.service == service);
-        let silent = listed.saturating_sub(seen_here.count());
+        let tracked = self.stats.values();
+        let tracked = tracked.filter(|stats| stats.server.service == service);
+        let unreported = listed.saturating_sub(tracked.count());
         let mut ids = Vec::new();
         let mut judged: Vec<(&mut Avoidance, OutcomeCounts)> = Vec::new();
-        for (id, seen) in &mut self.seen {
-            if seen.server.service == service && seen.server.state == ServerState::Ready {
-                let counts = seen.outcomes(now);
-                let calls = seen.calls();
-                seen.avoidance.note_calls(calls);
+        for (id, stats) in &mut self.stats {
+            if stats.server.service == service && stats.server.state == ServerState::Ready {
+                let counts = stats.outcomes(now);
+                let calls = stats.calls();
+                stats.avoidance.note_calls(calls);
                 ids.push((id, counts));
-                judged.push((&mut seen.avoidance, counts));
+                judged.push((&mut stats.avoidance, counts));
             }
         }
-        let mut unseen = vec![Avoidance::default(); silent.min(MOST_SILENT)];
-        let silent = unseen.iter_mut();
-        judged.extend(silent.map(|avoidance| (avoidance, OutcomeCounts::default())));
+        let mut untracked = vec![Avoidance::default(); unreported.min(MAX_UNREPORTED_SERVERS)];
+        let unreported = untracked.iter_mut();
+        judged.extend(unreported.map(|avoidance| (avoidance, OutcomeCounts::default())));
         let changes = advance_service(&mut judged, now);
-        let counts_age = now.saturating_sub(self.others_noted);
+        let counts_age = now.saturating_sub(self.load_reported_at);
         for ((id, counts), change) in ids.into_iter().zip(changes) {
             self.changes.extend(change.map(|change| OutcomeChange {
                 server: id.clone(),
@@ -66,16 +66,16 @@
                 counts_age,
             }));
         }
-        self.end_rests_of_trusted();
-        self.note_avoided(service);
+        self.reset_backoff_of_trusted();
+        self.update_avoided_ids(service);
     }
 
-    fn note_avoided(&mut self, service: &str) {
-        for (id, seen) in &self.seen {
-            if seen.server.service != service {
+    fn update_avoided_ids(&mut self, service: &str) {
+        for (id, stats) in &self.stats {
+            if stats.server.service != service {
                 continue;
             }
-            if seen.avoidance.is_on() {
+            if stats.avoidance.is_on() {
                 self.avoided_ids.insert(id.clone());
             } else {
                 self.avoided_ids.remove(id);
@@ -84,29 +84,29 @@
     }
 
     /// Resets the backoff of servers that have passed their probes.
-    fn end_rests_of_trusted(&mut self) {
+    fn reset_backoff_of_trusted(&mut self) {
         for change in &self.changes {
             if change.change == AvoidanceChange::Ended
-                && let Some(seen) = self.seen.get_mut(&change.server)
+                && let Some(stats) = self.stats.get_mut(&change.server)
             {
-                seen.end_rest();
+                stats.reset_backoff();
             }
         }
     }
 
     /// Re-evaluates the service of a server if the report can change the result.
-    pub fn advance_outcomes_after(&mut self, id: &str, report: Report, now: Duration) {
-        let Some(seen) = self.seen.get(id) else {
+    pub fn reevaluate_after(&mut self, id: &str, report: CallReport, now: Duration) {
+        let Some(stats) = self.stats.get(id) else {
             return;
         };
         let may_change = match report {
-            Report::Erred | Report::Failed => true,
-            Report::Answered => seen.avoidance.is_on(),
-            Report::Paced(_) | Report::Full => false,
+            CallReport::ServerError | CallReport::Failed => true,
+            CallReport::Answered => stats.avoidance.is_on(),
+            CallReport::Latency(_) | CallReport::Rejected => false,
         };
         if may_change {
-            let service = seen.server.service.clone();
-            self.advance_outcomes_of(&service, now);
+            let service = stats.server.service.clone();
+            self.reevaluate_service(&service, now);
         }
     }
 
@@ -121,35 +121,35 @@
         let services = self.directory.services();
         let mut avoided: BTreeMap<String, usize> =
             services.map(|service| (service.to_owned(), 0)).collect();
-        for seen in self.seen.values() {
-            let number = avoided.entry(seen.server.service.clone()).or_default();
-            *number += usize::from(seen.avoidance.is_on());
+        for stats in self.stats.values() {
+            let number = avoided.entry(stats.server.service.clone()).or_default();
+            *number += usize::from(stats.avoidance.is_on());
         }
         avoided
     }
 
     /// Records that a request is sent to a server.
-    pub fn note_sent(&mut self, id: &str, now: Duration) {
-        if let Some(seen) = self.seen_mut(id) {
-            seen.avoidance.note_sent(now);
+    pub fn record_sent(&mut self, id: &str, now: Duration) {
+        if let Some(stats) = self.stats_mut(id) {
+            stats.avoidance.note_sent(now);
         }
     }
 
     /// The standing of a server at this gateway.
-    pub(super) fn standing(&self, seen: &Seen, now: Duration) -> Standing {
+    pub(super) fn standing(&self, stats: &ServerStats, now: Duration) -> Standing {
         let turn = ProbeTurn {
-            seed: self.seed ^ u64::from(seen.key.0),
+            seed: self.seed ^ u64::from(stats.key.0),
             gateways: self.gateways,
-            calls: seen.calls(),
+            calls: stats.calls(),
         };
-        seen.avoidance.standing(turn, now)
+        stats.avoidance.standing(turn, now)
     }
 }
 
-impl Seen {
+impl ServerStats {
     /// Outcomes of the calls of all known gateways.
     fn outcomes(&self, now: Duration) -> OutcomeCounts {
         let own = self.own_outcomes.at(now);
-        own.plus(&self.others_outcomes.at(now))
+        own.plus(&self.other_outcomes.at(now))
     }
 }
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -17,7 +17,7 @@
 use super::memory_budget::BufferKind;
 use super::memory_tracker::RequestMemory;
 use super::refusal::Refusal;
-use super::servers::Report;
+use super::servers::CallReport;
 use super::upstream::UpstreamError;
 use crate::http::is_of_connection;
 
@@ -70,7 +70,9 @@
     // Server errors don't represent the latency of calls.
     if !opened.head.status.is_server_error() {
         let took = opened.sent_at.elapsed();
-        attempts.core.report(&opened.server, Report::Paced(took));
+        attempts
+            .core
+            .report(&opened.server, CallReport::Latency(took));
         attempts.note_answer_time(took);
         match read {
             AnswerRead::Whole(_) => attempts.note_finished(opened, 0),
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -150,7 +150,7 @@
     let now = core.clock.now();
     let mut servers = core.servers.borrow_mut();
     for cached in hints {
-        servers.note_cached(cached, now);
+        servers.record_cached(cached, now);
     }
 }
 
@@ -213,7 +213,7 @@
     let hint = hint.filter(|_| core.policy.uses(Mechanism::KeptTurnHints));
     if let Some(cached) = &hint {
         let now = core.clock.now();
-        core.servers.borrow_mut().note_cached(cached, now);
+        core.servers.borrow_mut().record_cached(cached, now);
     }
     let size = chain
         .iter()
--- a/crates/courseshed-edge/src/gateway/prompt_memory.rs
+++ b/crates/courseshed-edge/src/gateway/prompt_memory.rs
@@ -38,7 +38,7 @@
 
 impl PromptMemory {
     /// Records that a server has just prefilled all segments.
-    pub fn note(&mut self, server: ServerKey, parts: &[PromptPart], now: Duration) {
+    pub fn record(&mut self, server: ServerKey, parts: &[PromptPart], now: Duration) {
         for part in parts {
             self.insert(server, *part, now);
         }
@@ -46,7 +46,7 @@
 
     /// Records the segments that a server had cached when it responded to a call of any gateway.
     /// Never lowers the token count of an existing entry.
-    pub fn note_cached(&mut self, cached: &CachedPrompt, now: Duration) {
+    pub fn record_cached(&mut self, cached: &CachedPrompt, now: Duration) {
         let server = cached.server;
         for part in &cached.parts {
             let tokens = part.tokens.max(self.kept_tokens(server, part.id, now));
@@ -127,7 +127,7 @@
     }
 
     /// Drops expired entries, and the oldest if there are too many.
-    pub fn tidy(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         let mut limit = KEPT_FOR;
         loop {
             self.notes
--- a/crates/courseshed-edge/src/gateway/schedule.rs
+++ b/crates/courseshed-edge/src/gateway/schedule.rs
@@ -283,7 +283,7 @@
         let mut tracker = self.tracker.borrow_mut();
         let message = PeerMessage::PoolCalls {
             service: service.to_owned(),
-            calls: tracker.running_calls(service, controller, now),
+            calls: tracker.report_running(service, controller, now),
         };
         drop(tracker);
         self.send(controller, message);
--- a/crates/courseshed-edge/src/gateway/chosen.rs
+++ b/crates/courseshed-edge/src/gateway/selected_server.rs
@@ -6,7 +6,7 @@
 
 /// A selected server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Chosen {
+pub struct SelectedServer {
     /// ID of the server instance.
     pub id: String,
     /// The name that the server reports for itself.
@@ -15,7 +15,7 @@
     pub address: SocketAddr,
 }
 
-impl Chosen {
+impl SelectedServer {
     /// Copies the details of a listed server.
     #[must_use]
     pub fn of(server: &Server) -> Self {
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -146,7 +146,7 @@
         actix_rt::spawn(resend_running_calls(core.schedulers.clone()));
     }
     actix_rt::spawn(follow_fleet(core.clone()));
-    actix_rt::spawn(tidy(core.clone()));
+    actix_rt::spawn(clean_up(core.clone()));
     actix_rt::spawn(monitor_connections(core.memory_tracker.clone()));
     actix_rt::spawn(exchange_permits(
         core.clone(),
@@ -187,10 +187,10 @@
     }
 }
 
-async fn tidy(core: Rc<GatewayCore>) {
+async fn clean_up(core: Rc<GatewayCore>) {
     loop {
         sleep(TIDY_INTERVAL).await;
-        core.servers.borrow_mut().tidy(core.clock.now());
+        core.servers.borrow_mut().remove_expired(core.clock.now());
         core.tell_avoided();
         core.pool.retain(|id| core.servers.borrow().contains(id));
     }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -22,7 +22,7 @@
 use super::plain::{answer, answer_head, forward, read_to_bound, refuse};
 use super::program::{TokenReservation, compose_body, keep_ms, reserve, turn_of};
 use super::refusal::Refusal;
-use super::servers::Report;
+use super::servers::CallReport;
 use super::upstream::UpstreamError;
 
 /// How long a resumable stream may be silent before it is resumed at another server.
@@ -247,13 +247,13 @@
                 let tokens = u64::from(events) * self.tokens_per_event;
                 opened.first_tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
                 let core = &self.attempts.core;
-                core.report(&opened.server, Report::Answered);
+                core.report(&opened.server, CallReport::Answered);
                 self.attempts.note_read(opened);
             }
             Some(before) => {
                 let each = now.duration_since(before) / events;
                 let core = &self.attempts.core;
-                core.report(&opened.server, Report::Paced(each));
+                core.report(&opened.server, CallReport::Latency(each));
             }
         }
         self.events_here += events;
@@ -309,7 +309,7 @@
                 Ok(())
             }
             Ok(mut opened) => {
-                let report = Report::of_answer(opened.head.status);
+                let report = CallReport::of_answer(opened.head.status);
                 self.attempts.core.report(&opened.server, report);
                 opened.end_call(opened.end_without_stream());
                 self.break_off()
--- a/crates/courseshed-edge/tests/call_book.rs
+++ b/crates/courseshed-edge/tests/call_book.rs
@@ -69,8 +69,8 @@
     let mut book = CallTracker::new(1);
     let (number, _) = book.begin_queued("s", CONTROLLERS[0]);
     book.record_grant(number, ENGINE, NOW);
-    book.running_calls("s", CONTROLLERS[1], NOW);
-    book.running_calls("s", CONTROLLERS[1], NOW);
+    book.report_running("s", CONTROLLERS[1], NOW);
+    book.report_running("s", CONTROLLERS[1], NOW);
     book.end(number, WHOLE);
     book.end(number, CallEnd::Given);
     let notes = book.take_notes();
@@ -93,7 +93,7 @@
     book.begin_queued("s", CONTROLLERS[0]);
     book.begin_running("t", ENGINE, NOW);
     let later = NOW + Duration::from_millis(40);
-    let running = book.running_calls("s", CONTROLLERS[0], later);
+    let running = book.report_running("s", CONTROLLERS[0], later);
     let numbers: Vec<u64> = running.iter().map(|call| call.number).collect();
     assert_eq!(numbers, [granted, local]);
     assert!(
--- a/crates/courseshed-edge/tests/choice.rs
+++ b/crates/courseshed-edge/tests/choice.rs
@@ -5,7 +5,9 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_edge::gateway::{Demand, EventSplitter, Report, ServerTable, ServingTerms};
+use courseshed_edge::gateway::{
+    CallReport, Demand, EventSplitter, ServerTable, ServingConstraints,
+};
 use courseshed_registry::{
     EvacuatedZones, LoadReport, Server, ServerList, ServerLoad, ServerState,
 };
@@ -44,7 +46,7 @@
         service: "s",
         zone: "a",
         parts,
-        most_in_flight: u32::MAX,
+        max_in_flight: u32::MAX,
         homes: &HomeRegions::ANY,
     }
 }
@@ -71,7 +73,7 @@
     assert_eq!(choose(&table, None, &[]), Some("b".to_owned()));
     assert_eq!(choose(&table, Some("k"), &[]), Some("b".to_owned()));
     assert_eq!(choose(&table, None, &["b"]), None);
-    assert_eq!(table.listed("a"), None);
+    assert_eq!(table.available("a"), None);
 }
 
 #[test]
@@ -114,20 +116,20 @@
         }],
         failures: Vec::new(),
     };
-    table.note_others(&others, NOW);
+    table.apply_load_report(&others, NOW);
     table.begin("b");
     assert_eq!(choose(&table, None, &[]), Some("b".to_owned()));
-    table.forget_old_loads(NOW + Duration::from_millis(500));
+    table.expire_load_report(NOW + Duration::from_millis(500));
     assert_eq!(choose(&table, None, &[]), Some("b".to_owned()));
-    table.forget_old_loads(NOW + Duration::from_millis(1500));
+    table.expire_load_report(NOW + Duration::from_millis(1500));
     assert_eq!(choose(&table, None, &[]), Some("a".to_owned()));
 }
 
 #[parameterized(
-    failed = { Report::Failed },
-    full = { Report::Full },
+    failed = { CallReport::Failed },
+    full = { CallReport::Rejected },
 )]
-fn a_server_rests_after_trouble_unless_it_is_the_only_one(report: Report) {
+fn a_server_rests_after_trouble_unless_it_is_the_only_one(report: CallReport) {
     let mut both = table(&["a", "b"]);
     both.report("a", report, NOW);
     for _ in 0..3 {
@@ -145,7 +147,7 @@
     let favourite = choose(&table, Some("session"), &[]).expect("a server");
     for id in ["a", "b", "c"] {
         let took = if id == favourite { 900 } else { 100 };
-        let report = Report::Paced(Duration::from_millis(took));
+        let report = CallReport::Latency(Duration::from_millis(took));
         table.report(id, report, NOW);
     }
     assert_ne!(choose(&table, Some("session"), &[]), Some(favourite));
@@ -172,17 +174,17 @@
         revision: 1,
         zones: ["a".to_owned()].into(),
     };
-    table.set_serving(ServingTerms {
+    table.set_serving(ServingConstraints {
         evacuated: Arc::new(evacuated),
-        ..ServingTerms::default()
+        ..ServingConstraints::default()
     });
     assert_eq!(choose(&table, None, &[]), None);
     assert_eq!(
-        table.listed("a"),
+        table.available("a"),
         None,
         "nor the rest of a call that was there"
     );
-    table.set_serving(ServingTerms::default());
+    table.set_serving(ServingConstraints::default());
     assert_eq!(choose(&table, None, &[]), Some("a".to_owned()));
 }
 
@@ -195,10 +197,10 @@
     }
 }
 
-fn cold_is_bounded() -> ServingTerms {
-    ServingTerms {
-        cold_bounded: ["s".to_owned()].into(),
-        ..ServingTerms::default()
+fn cold_is_bounded() -> ServingConstraints {
+    ServingConstraints {
+        cold_limited: ["s".to_owned()].into(),
+        ..ServingConstraints::default()
     }
 }
 
@@ -214,7 +216,7 @@
         table.begin("b");
     }
     assert_eq!(choose(&table, None, &["b"]), None);
-    assert_eq!(table.listed("a"), None);
+    assert_eq!(table.available("a"), None);
     let servers = [
         server("a", ServerState::Ready),
         server("b", ServerState::Ready),
--- a/crates/courseshed-edge/tests/directory.rs
+++ b/crates/courseshed-edge/tests/directory.rs
@@ -38,7 +38,7 @@
 fn what_holds_the_calls_own_part_is_weighed_wherever_it_is() {
     let (mut table, _) = table(MANY);
     let far = server(9_999).id;
-    table.note_read(&far, &PROMPT, 14_000, Duration::from_millis(70), NOW);
+    table.record_first_chunk(&far, &PROMPT, 14_000, Duration::from_millis(70), NOW);
     assert_eq!(choose(&table, &PROMPT, 5), Some(far));
 }
 
--- a/crates/courseshed-edge/tests/failing_servers.rs
+++ b/crates/courseshed-edge/tests/failing_servers.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap};
 use std::time::Duration;
 
-use courseshed_edge::gateway::{Demand, Mechanism, Policy, Report, ServerTable};
+use courseshed_edge::gateway::{CallReport, Demand, Mechanism, Policy, ServerTable};
 use courseshed_registry::{
     AvoidanceChange, LoadBoard, Server, ServerList, ServerState, pause_after_reports,
 };
@@ -146,14 +146,14 @@
                 service: "s",
                 zone: "a",
                 parts: &[],
-                most_in_flight: 100,
+                max_in_flight: 100,
                 homes: &HomeRegions::ANY,
             };
             let now = Duration::from_millis(at);
             let table = &mut self.gateways[gateway];
             let server = table.choose(&demand, &[], now, tie).expect("a server").id;
             table.begin(&server);
-            table.note_sent(&server, now);
+            table.record_sent(&server, now);
             *self.sent.entry(server.clone()).or_default() += 1;
             let index: usize = server[7..].parse().expect("a number");
             let fails = self.happens((self.faults)(index, at));
@@ -177,17 +177,17 @@
         let now = Duration::from_millis(at);
         let table = &mut self.gateways[gateway];
         table.end(server);
-        let reports: &[Report] = if is_sound {
+        let reports: &[CallReport] = if is_sound {
             &[
-                Report::Answered,
-                Report::Paced(Duration::from_millis(SOUND_CALL_MS)),
+                CallReport::Answered,
+                CallReport::Latency(Duration::from_millis(SOUND_CALL_MS)),
             ]
         } else {
-            &[Report::Erred]
+            &[CallReport::ServerError]
         };
         for report in reports {
             table.report(server, *report, now);
-            table.advance_outcomes_after(server, *report, now);
+            table.reevaluate_after(server, *report, now);
         }
         self.note_changes(gateway, at);
     }
@@ -201,8 +201,8 @@
         let others = board.all_but(now, node);
         let pause = pause_after_reports(2, own.lines() + others.lines(), EXCHANGE);
         board.note_gateway(now, node, own);
-        table.note_others(&others, now);
-        table.advance_outcomes(now);
+        table.apply_load_report(&others, now);
+        table.reevaluate_avoidance(now);
         self.note_changes(gateway, at);
         self.add(at + pause.as_millis() as u64, Event::Exchange(gateway));
     }
--- a/crates/courseshed-edge/tests/growth.rs
+++ b/crates/courseshed-edge/tests/growth.rs
@@ -8,7 +8,7 @@
 use std::alloc::System;
 use std::time::Duration;
 
-use courseshed_edge::gateway::Report;
+use courseshed_edge::gateway::CallReport;
 use courseshed_registry::{LoadReport, ServerChanges, ServerLoad};
 use courseshed_types::ServerKey;
 use large_fleet::{MANY, NOW, PROMPT, choose, server, table};
@@ -41,13 +41,13 @@
     for tie in 0..20 {
         let chosen = choose(&table, &PROMPT, tie).expect("a server");
         table.begin(&chosen);
-        table.note_read(&chosen, &PROMPT, 14_000, Duration::from_millis(70), NOW);
-        table.report(&chosen, Report::Failed, NOW);
-        table.advance_outcomes_after(&chosen, Report::Failed, NOW);
+        table.record_first_chunk(&chosen, &PROMPT, 14_000, Duration::from_millis(70), NOW);
+        table.report(&chosen, CallReport::Failed, NOW);
+        table.reevaluate_after(&chosen, CallReport::Failed, NOW);
         choose(&table, &[], tie).expect("a server");
     }
-    table.note_others(&loads(), NOW);
-    table.advance_outcomes(NOW);
+    table.apply_load_report(&loads(), NOW);
+    table.reevaluate_avoidance(NOW);
     assert!(table.load_report(NOW).lines() > 0);
     list.apply(ServerChanges {
         is_whole: false,
--- a/crates/courseshed-edge/tests/policy.rs
+++ b/crates/courseshed-edge/tests/policy.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use courseshed_edge::gateway::{Demand, Mechanism, Policy, Report, ServerTable};
+use courseshed_edge::gateway::{CallReport, Demand, Mechanism, Policy, ServerTable};
 use courseshed_registry::{Server, ServerList, ServerState};
 use courseshed_routing::HomeRegions;
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
@@ -40,7 +40,7 @@
         service: "s",
         zone: "near",
         parts: &PROMPT,
-        most_in_flight: u32::MAX,
+        max_in_flight: u32::MAX,
         homes: &HomeRegions::ANY,
     };
     (0..100)
@@ -51,28 +51,28 @@
 
 fn has_read(table: &mut ServerTable) {
     let cached = CachedPrompt::after_answer(ServerKey::of("b"), &PROMPT, 0);
-    table.note_cached(&cached, NOW);
+    table.record_cached(&cached, NOW);
 }
 
 fn is_slow(table: &mut ServerTable) {
     for _ in 0..20 {
-        table.report("a", Report::Paced(Duration::from_millis(500)), NOW);
-        table.report("b", Report::Paced(Duration::from_millis(50)), NOW);
+        table.report("a", CallReport::Latency(Duration::from_millis(500)), NOW);
+        table.report("b", CallReport::Latency(Duration::from_millis(50)), NOW);
     }
 }
 
 fn has_failed(table: &mut ServerTable) {
-    table.report("a", Report::Failed, NOW);
+    table.report("a", CallReport::Failed, NOW);
 }
 
 /// Errors by turns with answers, so that it doesn't rest.
 fn has_erred_often(table: &mut ServerTable) {
     for _ in 0..12 {
-        for report in [Report::Erred, Report::Answered] {
+        for report in [CallReport::ServerError, CallReport::Answered] {
             table.report("a", report, NOW);
         }
     }
-    table.advance_outcomes(NOW);
+    table.reevaluate_avoidance(NOW);
 }
 
 fn nothing(_: &mut ServerTable) {}
--- a/crates/courseshed-edge/tests/prompt_memory.rs
+++ b/crates/courseshed-edge/tests/prompt_memory.rs
@@ -22,7 +22,7 @@
     let mut memory = PromptMemory::default();
     let prompt = [SHARED, own(1_000)];
     assert_eq!(memory.unread_tokens(SERVER, &prompt, NOW), 13_000);
-    memory.note(SERVER, &[SHARED], NOW);
+    memory.record(SERVER, &[SHARED], NOW);
     assert_eq!(memory.unread_tokens(SERVER, &prompt, NOW), 1_000);
     let unknown = PromptPart { id: 9, tokens: 10 };
     let behind_unknown = [unknown, SHARED];
@@ -34,7 +34,7 @@
 fn what_was_generated_need_not_be_read() {
     let mut memory = PromptMemory::default();
     let cached = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
-    memory.note_cached(&cached, NOW);
+    memory.record_cached(&cached, NOW);
     let next_turn = [SHARED, own(1_800)];
     assert_eq!(memory.unread_tokens(SERVER, &next_turn, NOW), 500);
 }
@@ -42,9 +42,9 @@
 #[test]
 fn an_older_answer_does_not_lower_what_is_known() {
     let mut memory = PromptMemory::default();
-    memory.note(SERVER, &[SHARED, own(2_000)], NOW);
+    memory.record(SERVER, &[SHARED, own(2_000)], NOW);
     let older = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
-    memory.note_cached(&older, NOW);
+    memory.record_cached(&older, NOW);
     let next_turn = [SHARED, own(2_100)];
     assert_eq!(memory.unread_tokens(SERVER, &next_turn, NOW), 100);
 }
@@ -52,10 +52,10 @@
 #[test]
 fn notes_are_forgotten_after_a_while() {
     let mut memory = PromptMemory::default();
-    memory.note(SERVER, &[SHARED], NOW);
+    memory.record(SERVER, &[SHARED], NOW);
     let later = NOW + Duration::from_secs(31);
     assert_eq!(memory.unread_tokens(SERVER, &[SHARED], later), 12_000);
-    memory.tidy(later);
+    memory.remove_expired(later);
     assert_eq!(memory.unread_tokens(SERVER, &[SHARED], NOW), 12_000);
 }
 
@@ -71,6 +71,6 @@
     ];
     assert_eq!(memory.unread_tokens(SERVER, &huge, NOW), u32::MAX);
     let cached = CachedPrompt::after_answer(SERVER, &huge, u32::MAX);
-    memory.note_cached(&cached, NOW);
+    memory.record_cached(&cached, NOW);
     assert_eq!(memory.unread_tokens(SERVER, &huge, NOW), 0);
 }
--- a/crates/courseshed-edge/tests/support/large_fleet.rs
+++ b/crates/courseshed-edge/tests/support/large_fleet.rs
@@ -54,7 +54,7 @@
         service: "engines",
         zone: "zone-1",
         parts: prompt,
-        most_in_flight: u32::MAX,
+        max_in_flight: u32::MAX,
         homes: &HomeRegions::ANY,
     };
     table.choose(&demand, &[], NOW, tie).map(|chosen| chosen.id)
