--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -46,7 +46,7 @@
     pub server: String,
     pub sent_at: Instant,
     /// Estimated number of prompt tokens that the server had to prefill.
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
     /// Time from sending the request to the first chunk of the response, once received.
     pub first_part: Option<Duration>,
     /// Tokens in the first chunk.
@@ -231,7 +231,7 @@
                 in_flight,
             } = assigned;
             let inputs = self.choice_inputs(&chosen.id);
-            let unread_tokens = inputs.unread_tokens;
+            let uncached_tokens = inputs.uncached_tokens;
             self.log.choice = inputs;
             // A reserved server is already counted as in flight.
             let in_flight = in_flight.unwrap_or_else(|| InFlight::begin(&self.core, &chosen.id));
@@ -268,7 +268,7 @@
                             upstream,
                             server: chosen.id,
                             sent_at,
-                            unread_tokens,
+                            uncached_tokens,
                             first_part: None,
                             first_tokens: 0,
                             call,
@@ -362,8 +362,8 @@
 
     /// Records the duration of a non-streaming response, or of a wait that timed out.
     pub(super) fn note_answer_time(&self, took: Duration) {
-        let mut times = self.core.answer_times.borrow_mut();
-        times.note(&self.route.name, took);
+        let mut times = self.core.response_times.borrow_mut();
+        times.record(&self.route.name, took);
     }
 
     /// Records the arrival of the first chunk of a response.
@@ -372,7 +372,7 @@
         let now = self.core.clock.now();
         let took = opened.sent_at.elapsed();
         opened.first_part.get_or_insert(took);
-        let unread = opened.unread_tokens;
+        let unread = opened.uncached_tokens;
         let mut servers = self.core.servers.borrow_mut();
         servers.record_first_chunk(&opened.server, &self.parts, unread, took, now);
     }
@@ -474,7 +474,7 @@
             let answered = core.codec.read_answer(head).request_id;
             answered.is_none_or(|id| id == *request_id)
         };
-        let silence = self.silence_borne();
+        let silence = self.response_timeout();
         let patience = silence.filter(|silence| sent_at + *silence < self.deadline);
         let limit = patience.map_or(self.deadline, |patience| sent_at + patience);
         let answered = upstream.exchange(request, limit, is_ours).await;
@@ -488,14 +488,14 @@
 
     /// How long to wait for a response before another server is tried; `None` if the call can't be
     /// retried.
-    fn silence_borne(&self) -> Option<Duration> {
+    fn response_timeout(&self) -> Option<Duration> {
         let may_go_on = self.attempted_servers.len() < self.route.max_attempts as usize;
         let is_limited = self.core.policy.uses(Mechanism::SilenceLimit);
         if self.route.kind != CallKind::Repeatable || !may_go_on || !is_limited {
             return None;
         }
-        let times = self.core.answer_times.borrow();
-        times.silence_borne(&self.route.name)
+        let times = self.core.response_times.borrow();
+        times.response_timeout(&self.route.name)
     }
 
     fn write_head(&self, chosen: &SelectedServer, resume_after: Option<u64>) -> BytesMut {
--- a/crates/courseshed-edge/src/gateway/call_log.rs
+++ b/crates/courseshed-edge/src/gateway/call_log.rs
@@ -133,7 +133,7 @@
             version = self.version,
             calls_there = self.choice.calls,
             loads_age_ms = milliseconds(self.choice.loads_age),
-            unread_tokens = self.choice.unread_tokens,
+            unread_tokens = self.choice.uncached_tokens,
             chosen_by = self.chosen_by,
             scheduler_waited_ms = self.schedule.waited_ms,
             scheduler_waiting = self.schedule.waiting,
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -53,7 +53,7 @@
     /// Age of the last load report of the other gateways.
     pub loads_age: Duration,
     /// Estimated number of prompt tokens that the server does not have cached.
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
 }
 
 impl ServerTable {
@@ -187,8 +187,8 @@
         median_latency_ms: f64,
         now: Duration,
     ) -> CostInputs {
-        let unread_tokens = if self.policy.uses(Mechanism::PromptMemory) {
-            self.prompts.unread_tokens(stats.key, demand.parts, now)
+        let uncached_tokens = if self.policy.uses(Mechanism::PromptMemory) {
+            self.prompts.uncached_tokens(stats.key, demand.parts, now)
         } else {
             0
         };
@@ -201,7 +201,7 @@
             calls: stats.calls(),
             slots: stats.server.slots,
             slowness,
-            unread_tokens,
+            uncached_tokens,
             network_ms: self.network_ms(demand.zone, &stats.server.zone),
         }
     }
@@ -230,7 +230,7 @@
         ChoiceInputs {
             calls,
             loads_age: now.saturating_sub(self.load_reported_at),
-            unread_tokens: self.prompts.unread_tokens(ServerKey::of(id), parts, now),
+            uncached_tokens: self.prompts.uncached_tokens(ServerKey::of(id), parts, now),
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -12,13 +12,13 @@
 use tokio::time::Instant;
 
 use super::access::{AccessTerms, TenantTerms};
-use super::answer_times::AnswerTimes;
 use super::call::CallCodec;
 use super::memory_budget::HeldTerms;
 use super::memory_tracker::MemoryTracker;
 use super::outcome_change::OutcomeChange;
 use super::policy::Policy;
 use super::quota::Quotas;
+use super::response_times::ResponseTimes;
 use super::schedule::SchedulerClient;
 use super::servers::{CallReport, ServerTable};
 use super::upstream::UpstreamPool;
@@ -45,7 +45,7 @@
     /// Memory held for client connections.
     pub memory_tracker: Rc<MemoryTracker>,
     pub servers: RefCell<ServerTable>,
-    pub answer_times: RefCell<AnswerTimes>,
+    pub response_times: RefCell<ResponseTimes>,
     /// The zone of this gateway.
     pub zone: String,
     /// When a graceful shutdown terminates the process; `None` while not shutting down.
@@ -108,7 +108,7 @@
             policy,
             access: access.unwrap_or_default(),
             quotas: Quotas::new(tenants.quota),
-            answer_times: RefCell::default(),
+            response_times: RefCell::default(),
             zone,
             ends_at: Cell::new(None),
             under_way: Cell::new(0),
@@ -146,7 +146,7 @@
     pub(super) fn retain_routes(&self, table: &RoutingTable) {
         let is_there = |name: &str| table.routes.iter().any(|route| route.name == name);
         self.splits.borrow_mut().retain(|name, _| is_there(name));
-        self.answer_times.borrow_mut().retain(is_there);
+        self.response_times.borrow_mut().retain(is_there);
     }
 
     pub(super) fn report(&self, server: &str, report: CallReport) {
--- a/crates/courseshed-edge/src/gateway/cost.rs
+++ b/crates/courseshed-edge/src/gateway/cost.rs
@@ -46,7 +46,7 @@
     /// Latency relative to the median of the service.
     pub slowness: f64,
     /// Prompt tokens that the server does not have cached.
-    pub unread_tokens: u32,
+    pub uncached_tokens: u32,
     /// Network cost of the call, in milliseconds.
     pub network_ms: f64,
 }
@@ -58,7 +58,7 @@
     let calls = f64::from(inputs.calls);
     let slowdown = SLOWDOWN_PER_CALL * calls.min(slots);
     let queueing = queueing_factor(inputs.calls, inputs.slots);
-    let prefill = f64::from(inputs.unread_tokens) * latency.prefill_ms_per_token;
+    let prefill = f64::from(inputs.uncached_tokens) * latency.prefill_ms_per_token;
     let delayed_calls = 1.0 + PREFILL_DELAY_WEIGHT * calls.min(slots);
     let own = latency.call_ms * (1.0 + slowdown + queueing) + prefill * delayed_calls;
     own * inputs.slowness + inputs.network_ms
@@ -154,13 +154,13 @@
 
     /// Records the time to the first chunk of a response, given the number of uncached prompt
     /// tokens.
-    pub fn record_prefill(&mut self, unread_tokens: u32, took_ms: f64) {
-        if unread_tokens < MAX_BASELINE_TOKENS {
+    pub fn record_prefill(&mut self, uncached_tokens: u32, took_ms: f64) {
+        if uncached_tokens < MAX_BASELINE_TOKENS {
             self.first_chunk_ms.note(took_ms);
-        } else if unread_tokens >= MIN_PREFILL_SAMPLE_TOKENS {
+        } else if uncached_tokens >= MIN_PREFILL_SAMPLE_TOKENS {
             let prefill_ms = (took_ms - self.first_chunk_ms.value()).max(0.0);
             self.prefill_ms_per_token
-                .note(prefill_ms / f64::from(unread_tokens));
+                .note(prefill_ms / f64::from(uncached_tokens));
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -2,7 +2,6 @@
 //! service.
 
 mod access;
-mod answer_times;
 mod assign;
 mod assignment;
 mod attempts;
@@ -22,9 +21,10 @@
 mod plain;
 mod policy;
 mod program;
-mod prompt_memory;
+mod prompt_cache_index;
 mod quota;
 mod refusal;
+mod response_times;
 mod schedule;
 mod selected_server;
 mod server;
@@ -34,7 +34,6 @@
 mod upstream;
 
 pub use access::{AccessTerms, Caller, Identity, TenantTerms};
-pub use answer_times::AnswerTimes;
 pub use call::{
     AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
 };
@@ -47,8 +46,9 @@
 };
 pub use outcome_change::OutcomeChange;
 pub use policy::{Mechanism, Policy, UnknownMechanism};
-pub use prompt_memory::PromptMemory;
+pub use prompt_cache_index::PromptCacheIndex;
 pub use refusal::Refusal;
+pub use response_times::ResponseTimes;
 pub use selected_server::SelectedServer;
 pub use server::{GatewayError, GatewaySettings, run};
 pub use servers::{CallReport, ServerTable, ServingConstraints};
--- a/crates/courseshed-edge/src/gateway/prompt_memory.rs
+++ b/crates/courseshed-edge/src/gateway/prompt_cache_index.rs
@@ -9,34 +9,34 @@
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 
 /// How long a segment is assumed to stay cached after its last use.
-const KEPT_FOR: Duration = Duration::from_secs(30);
+const ENTRY_TTL: Duration = Duration::from_secs(30);
 /// Maximum number of servers tracked for one segment; the turns of a program usually run on one to
 /// three.
-const HOLDERS_OF_PART: usize = 8;
+const MAX_SERVERS_PER_SEGMENT: usize = 8;
 /// Maximum number of entries; the oldest are dropped first.
-const MOST_NOTES: usize = 40_000;
+const MAX_ENTRIES: usize = 40_000;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-struct PartAtServer {
+struct SegmentAtServer {
     part: u64,
     server: ServerKey,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Note {
+struct Entry {
     tokens: u32,
     used_at: Duration,
 }
 
 /// Estimated contents of the servers' prefix caches.
 #[derive(Clone, Debug, Default)]
-pub struct PromptMemory {
-    notes: HashMap<PartAtServer, Note>,
+pub struct PromptCacheIndex {
+    entries: HashMap<SegmentAtServer, Entry>,
     /// Servers that have a segment cached, most recently used last.
     holders: HashMap<u64, Vec<ServerKey>>,
 }
 
-impl PromptMemory {
+impl PromptCacheIndex {
     /// Records that a server has just prefilled all segments.
     pub fn record(&mut self, server: ServerKey, parts: &[PromptPart], now: Duration) {
         for part in parts {
@@ -49,25 +49,25 @@
     pub fn record_cached(&mut self, cached: &CachedPrompt, now: Duration) {
         let server = cached.server;
         for part in &cached.parts {
-            let tokens = part.tokens.max(self.kept_tokens(server, part.id, now));
+            let tokens = part.tokens.max(self.cached_tokens(server, part.id, now));
             self.insert(server, PromptPart { tokens, ..*part }, now);
         }
     }
 
     fn insert(&mut self, server: ServerKey, part: PromptPart, now: Duration) {
-        let key = PartAtServer {
+        let key = SegmentAtServer {
             part: part.id,
             server,
         };
-        let note = Note {
+        let entry = Entry {
             tokens: part.tokens,
             used_at: now,
         };
-        self.notes.insert(key, note);
+        self.entries.insert(key, entry);
         let holders = self.holders.entry(part.id).or_default();
         holders.retain(|holder| *holder != server);
         holders.push(server);
-        if holders.len() > HOLDERS_OF_PART {
+        if holders.len() > MAX_SERVERS_PER_SEGMENT {
             holders.remove(0);
         }
     }
@@ -80,7 +80,7 @@
         let mut holders: Vec<ServerKey> = own
             .flat_map(|part| {
                 let holders = self.holders.get(&part.id).into_iter().flatten();
-                holders.filter(|server| self.kept_tokens(**server, part.id, now) > 0)
+                holders.filter(|server| self.cached_tokens(**server, part.id, now) > 0)
             })
             .copied()
             .collect();
@@ -91,49 +91,49 @@
 
     /// Number of prompt tokens that a server does not have cached.
     #[must_use]
-    pub fn unread_tokens(&self, server: ServerKey, parts: &[PromptPart], now: Duration) -> u32 {
-        let mut unread: u32 = 0;
-        let mut is_prefix_kept = true;
+    pub fn uncached_tokens(&self, server: ServerKey, parts: &[PromptPart], now: Duration) -> u32 {
+        let mut uncached: u32 = 0;
+        let mut is_prefix_cached = true;
         for part in parts {
-            let kept = if is_prefix_kept {
-                self.kept_tokens(server, part.id, now).min(part.tokens)
+            let cached = if is_prefix_cached {
+                self.cached_tokens(server, part.id, now).min(part.tokens)
             } else {
                 0
             };
-            is_prefix_kept &= kept == part.tokens;
-            unread = unread.saturating_add(part.tokens - kept);
+            is_prefix_cached &= cached == part.tokens;
+            uncached = uncached.saturating_add(part.tokens - cached);
         }
-        unread
+        uncached
     }
 
-    fn forget_holders(&mut self) {
-        let notes = &self.notes;
+    fn drop_stale_holders(&mut self) {
+        let entries = &self.entries;
         self.holders.retain(|part, servers| {
             servers.retain(|server| {
-                let key = PartAtServer {
+                let key = SegmentAtServer {
                     part: *part,
                     server: *server,
                 };
-                notes.contains_key(&key)
+                entries.contains_key(&key)
             });
             !servers.is_empty()
         });
     }
 
-    fn kept_tokens(&self, server: ServerKey, part: u64, now: Duration) -> u32 {
-        let note = self.notes.get(&PartAtServer { part, server });
-        let note = note.filter(|note| now.saturating_sub(note.used_at) < KEPT_FOR);
-        note.map_or(0, |note| note.tokens)
+    fn cached_tokens(&self, server: ServerKey, part: u64, now: Duration) -> u32 {
+        let entry = self.entries.get(&SegmentAtServer { part, server });
+        let entry = entry.filter(|entry| now.saturating_sub(entry.used_at) < ENTRY_TTL);
+        entry.map_or(0, |entry| entry.tokens)
     }
 
     /// Drops expired entries, and the oldest if there are too many.
     pub fn remove_expired(&mut self, now: Duration) {
-        let mut limit = KEPT_FOR;
+        let mut limit = ENTRY_TTL;
         loop {
-            self.notes
-                .retain(|_, note| now.saturating_sub(note.used_at) < limit);
-            if self.notes.len() <= MOST_NOTES {
-                self.forget_holders();
+            self.entries
+                .retain(|_, entry| now.saturating_sub(entry.used_at) < limit);
+            if self.entries.len() <= MAX_ENTRIES {
+                self.drop_stale_holders();
                 return;
             }
             limit /= 2;
--- a/crates/courseshed-edge/src/gateway/answer_times.rs
+++ b/crates/courseshed-edge/src/gateway/response_times.rs
@@ -11,55 +11,55 @@
 use courseshed_pool::Quantile;
 
 /// The tracked quantile.
-const FOLLOWED: f64 = 0.95;
+const TRACKED_QUANTILE: f64 = 0.95;
 /// Timeout relative to the 95th percentile.
-const PATIENCE: f64 = 3.0;
+const TIMEOUT_FACTOR: f64 = 3.0;
 /// Minimum timeout.
-const LEAST_SILENCE: Duration = Duration::from_millis(100);
+const MIN_TIMEOUT: Duration = Duration::from_millis(100);
 /// Minimum number of samples from which a timeout is derived.
-const TELLING_ANSWERS: u32 = 20;
+const MIN_SAMPLES: u32 = 20;
 
 #[derive(Clone, Copy, Debug)]
 struct RouteTimes {
-    answers: u32,
-    long_ms: Quantile,
+    samples: u32,
+    p95_ms: Quantile,
 }
 
 /// Response times by route.
 #[derive(Clone, Debug, Default)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     routes: HashMap<String, RouteTimes>,
 }
 
-impl AnswerTimes {
+impl ResponseTimes {
     /// Records a response time, or the duration of a wait that timed out.
-    pub fn note(&mut self, route: &str, took: Duration) {
+    pub fn record(&mut self, route: &str, took: Duration) {
         let took_ms = took.as_secs_f64() * 1000.0;
         if let Some(times) = self.routes.get_mut(route) {
-            times.answers = times.answers.saturating_add(1);
-            times.long_ms.note(took_ms);
+            times.samples = times.samples.saturating_add(1);
+            times.p95_ms.note(took_ms);
             return;
         }
         let first = RouteTimes {
-            answers: 1,
-            long_ms: Quantile::new(FOLLOWED, took_ms),
+            samples: 1,
+            p95_ms: Quantile::new(TRACKED_QUANTILE, took_ms),
         };
         self.routes.insert(route.to_owned(), first);
     }
 
     /// How long a server may take to respond to a call of a route; `None` with too few samples.
     #[must_use]
-    pub fn silence_borne(&self, route: &str) -> Option<Duration> {
+    pub fn response_timeout(&self, route: &str) -> Option<Duration> {
         let times = self.routes.get(route)?;
-        if times.answers < TELLING_ANSWERS {
+        if times.samples < MIN_SAMPLES {
             return None;
         }
-        let silence = Duration::from_secs_f64(PATIENCE * times.long_ms.value() / 1000.0);
-        Some(silence.max(LEAST_SILENCE))
+        let timeout = Duration::from_secs_f64(TIMEOUT_FACTOR * times.p95_ms.value() / 1000.0);
+        Some(timeout.max(MIN_TIMEOUT))
     }
 
     /// Drops routes that no longer exist.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.routes.retain(|route, _| is_there(route));
+    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
+        self.routes.retain(|route, _| exists(route));
     }
 }
--- a/crates/courseshed-edge/src/gateway/servers.rs
+++ b/crates/courseshed-edge/src/gateway/servers.rs
@@ -17,7 +17,7 @@
 use super::directory::Directory;
 use super::outcome_change::OutcomeChange;
 use super::policy::{Mechanism, Policy};
-use super::prompt_memory::PromptMemory;
+use super::prompt_cache_index::PromptCacheIndex;
 use super::selected_server::SelectedServer;
 use crate::follower::FleetView;
 
@@ -95,7 +95,7 @@
     /// Differs between gateways, so that they take turns in probing.
     pub(super) seed: u64,
     pub(super) changes: Vec<OutcomeChange>,
-    pub(super) prompts: PromptMemory,
+    pub(super) prompts: PromptCacheIndex,
     /// Latency estimates, by service.
     pub(super) latencies: BTreeMap<String, LatencyEstimate>,
     pub(super) zones: Arc<ZoneMap>,
@@ -251,7 +251,7 @@
         &mut self,
         id: &str,
         parts: &[PromptPart],
-        unread_tokens: u32,
+        uncached_tokens: u32,
         took: Duration,
         now: Duration,
     ) {
@@ -259,7 +259,7 @@
         if let Some(server) = self.directory.get(id) {
             let estimate = self.latencies.entry(server.service.clone()).or_default();
             if self.policy.uses(Mechanism::LearnedReading) {
-                estimate.record_prefill(unread_tokens, milliseconds(took));
+                estimate.record_prefill(uncached_tokens, milliseconds(took));
             }
         }
     }
--- a/crates/courseshed-edge/tests/cost.rs
+++ b/crates/courseshed-edge/tests/cost.rs
@@ -20,7 +20,7 @@
     calls: 0,
     slots: 12,
     slowness: 1.0,
-    unread_tokens: 0,
+    uncached_tokens: 0,
     network_ms: 0.0,
 };
 const SHARED: PromptPart = PromptPart {
@@ -35,7 +35,7 @@
 #[parameterized(
     more_calls = { CostInputs { calls: 6, ..IDLE } },
     slower = { CostInputs { slowness: 1.3, ..IDLE } },
-    more_to_read = { CostInputs { unread_tokens: 500, ..IDLE } },
+    more_to_read = { CostInputs { uncached_tokens: 500, ..IDLE } },
     another_zone = { CostInputs { network_ms: 8.0, ..IDLE } },
 )]
 fn whatever_is_worse_costs_more(worse: CostInputs) {
@@ -47,7 +47,7 @@
     let cost_of_read = |calls| {
         let cached = CostInputs { calls, ..IDLE };
         let unread = CostInputs {
-            unread_tokens: 12_000,
+            uncached_tokens: 12_000,
             ..cached
         };
         expected_cost_ms(&unread, &PACE) - expected_cost_ms(&cached, &PACE)
--- a/crates/courseshed-edge/tests/prompt_memory.rs
+++ b/crates/courseshed-edge/tests/prompt_memory.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use courseshed_edge::gateway::PromptMemory;
+use courseshed_edge::gateway::PromptCacheIndex;
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 
 const NOW: Duration = Duration::from_secs(10);
@@ -19,49 +19,49 @@
 
 #[test]
 fn a_prompt_is_read_up_to_its_first_unknown_part() {
-    let mut memory = PromptMemory::default();
+    let mut memory = PromptCacheIndex::default();
     let prompt = [SHARED, own(1_000)];
-    assert_eq!(memory.unread_tokens(SERVER, &prompt, NOW), 13_000);
+    assert_eq!(memory.uncached_tokens(SERVER, &prompt, NOW), 13_000);
     memory.record(SERVER, &[SHARED], NOW);
-    assert_eq!(memory.unread_tokens(SERVER, &prompt, NOW), 1_000);
+    assert_eq!(memory.uncached_tokens(SERVER, &prompt, NOW), 1_000);
     let unknown = PromptPart { id: 9, tokens: 10 };
     let behind_unknown = [unknown, SHARED];
-    assert_eq!(memory.unread_tokens(SERVER, &behind_unknown, NOW), 12_010);
-    assert_eq!(memory.unread_tokens(ELSEWHERE, &prompt, NOW), 13_000);
+    assert_eq!(memory.uncached_tokens(SERVER, &behind_unknown, NOW), 12_010);
+    assert_eq!(memory.uncached_tokens(ELSEWHERE, &prompt, NOW), 13_000);
 }
 
 #[test]
 fn what_was_generated_need_not_be_read() {
-    let mut memory = PromptMemory::default();
+    let mut memory = PromptCacheIndex::default();
     let cached = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
     memory.record_cached(&cached, NOW);
     let next_turn = [SHARED, own(1_800)];
-    assert_eq!(memory.unread_tokens(SERVER, &next_turn, NOW), 500);
+    assert_eq!(memory.uncached_tokens(SERVER, &next_turn, NOW), 500);
 }
 
 #[test]
 fn an_older_answer_does_not_lower_what_is_known() {
-    let mut memory = PromptMemory::default();
+    let mut memory = PromptCacheIndex::default();
     memory.record(SERVER, &[SHARED, own(2_000)], NOW);
     let older = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
     memory.record_cached(&older, NOW);
     let next_turn = [SHARED, own(2_100)];
-    assert_eq!(memory.unread_tokens(SERVER, &next_turn, NOW), 100);
+    assert_eq!(memory.uncached_tokens(SERVER, &next_turn, NOW), 100);
 }
 
 #[test]
 fn notes_are_forgotten_after_a_while() {
-    let mut memory = PromptMemory::default();
+    let mut memory = PromptCacheIndex::default();
     memory.record(SERVER, &[SHARED], NOW);
     let later = NOW + Duration::from_secs(31);
-    assert_eq!(memory.unread_tokens(SERVER, &[SHARED], later), 12_000);
+    assert_eq!(memory.uncached_tokens(SERVER, &[SHARED], later), 12_000);
     memory.remove_expired(later);
-    assert_eq!(memory.unread_tokens(SERVER, &[SHARED], NOW), 12_000);
+    assert_eq!(memory.uncached_tokens(SERVER, &[SHARED], NOW), 12_000);
 }
 
 #[test]
 fn token_counts_near_the_limit_do_not_wrap() {
-    let mut memory = PromptMemory::default();
+    let mut memory = PromptCacheIndex::default();
     let huge = [
         own(u32::MAX),
         PromptPart {
@@ -69,8 +69,8 @@
             ..own(u32::MAX)
         },
     ];
-    assert_eq!(memory.unread_tokens(SERVER, &huge, NOW), u32::MAX);
+    assert_eq!(memory.uncached_tokens(SERVER, &huge, NOW), u32::MAX);
     let cached = CachedPrompt::after_answer(SERVER, &huge, u32::MAX);
     memory.record_cached(&cached, NOW);
-    assert_eq!(memory.unread_tokens(SERVER, &huge, NOW), 0);
+    assert_eq!(memory.uncached_tokens(SERVER, &huge, NOW), 0);
 }
