--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -117,7 +117,7 @@
     /// # Errors
     /// [`Refusal::UnknownKey`] if the key no longer belongs to the tenant, [`Refusal::NoProof`] if
     /// the proof has expired.
-    pub fn check_again(
+    pub fn recheck(
         &self,
         caller: &Caller,
         version: u64,
--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::assignment::Assignment;
-use super::attempts::{Attempts, LEAST_TIME, milliseconds};
+use super::attempts::{Attempts, MIN_ATTEMPT_TIME, milliseconds};
 use super::choice::Demand;
 use super::policy::Mechanism;
 use super::program::program_key;
@@ -75,7 +75,7 @@
             return Ok(Scheduled::Undecided);
         }
         let mut excluded: Vec<ServerKey> = excluded.iter().map(|id| ServerKey::of(id)).collect();
-        let give_up = self.deadline - LEAST_TIME;
+        let give_up = self.deadline - MIN_ATTEMPT_TIME;
         for _ in 0..MAX_UNKNOWN_ENGINES {
             let demand = self.demand(excluded.clone());
             let refreshed = |number| self.refreshed(&demand, number);
@@ -87,14 +87,14 @@
                 EngineReply::Granted(call, key, inputs) => (call, key, inputs),
                 EngineReply::Refused(retry_after, inputs) => {
                     self.log.schedule = inputs;
-                    return Err(self.not_sent_again(Refusal::Overloaded { retry_after }));
+                    return Err(self.final_refusal(Refusal::Overloaded { retry_after }));
                 }
                 EngineReply::NoEngine(inputs) => {
                     self.log.schedule = inputs;
                     return Ok(Scheduled::Undecided);
                 }
                 EngineReply::Unknown => return Ok(Scheduled::Undecided),
-                EngineReply::TooLate => return Err(self.out_of_time()),
+                EngineReply::TooLate => return Err(self.deadline_refusal()),
             };
             let found = self
                 .core
--- a/crates/courseshed-edge/src/gateway/assignment.rs
+++ b/crates/courseshed-edge/src/gateway/assignment.rs
@@ -1,6 +1,6 @@
 //! The server assigned to an attempt.
 
-use super::core::InFlight;
+use super::core::InFlightGuard;
 use super::schedule::ScheduledCall;
 use super::selected_server::SelectedServer;
 
@@ -10,7 +10,7 @@
     pub call: Option<ScheduledCall>,
     /// Set if the call is already counted as in flight, when a server is reused after the permit
     /// expired.
-    pub in_flight: Option<InFlight>,
+    pub in_flight: Option<InFlightGuard>,
 }
 
 impl Assignment {
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -23,7 +23,7 @@
 use super::call::{CallEnvelope, SendTerms};
 use super::call_log::CallLog;
 use super::choice::ChoiceInputs;
-use super::core::{GatewayCore, InFlight};
+use super::core::{GatewayCore, InFlightGuard};
 use super::memory_budget::BufferKind;
 use super::memory_tracker::RequestMemory;
 use super::policy::Mechanism;
@@ -35,12 +35,12 @@
 use super::upstream::{Upstream, UpstreamError};
 
 /// Prompt tokens attributed to a request that has only an affinity key.
-const TOKENS_OF_KEY: u32 = 2_000;
+const AFFINITY_KEY_TOKENS: u32 = 2_000;
 /// Minimum remaining time for another attempt.
-pub(super) const LEAST_TIME: Duration = Duration::from_millis(15);
+pub(super) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
 
 /// A response whose head has been received.
-pub(super) struct Opened {
+pub(super) struct OpenedResponse {
     pub head: ResponseHead,
     pub upstream: Upstream,
     pub server: String,
@@ -48,16 +48,16 @@
     /// Estimated number of prompt tokens that the server had to prefill.
     pub uncached_tokens: u32,
     /// Time from sending the request to the first chunk of the response, once received.
-    pub first_part: Option<Duration>,
+    pub first_chunk_after: Option<Duration>,
     /// Tokens in the first chunk.
     pub first_tokens: u32,
     /// The call's registration at the pool scheduler.
     pub call: Option<ScheduledCall>,
     /// Counts the request as in flight at the server.
-    pub _in_flight: InFlight,
+    pub _in_flight: InFlightGuard,
 }
 
-impl Opened {
+impl OpenedResponse {
     /// Reports the end of the call to the pool scheduler.
     pub(super) fn end_call(&mut self, end: CallEnd) {
         if let Some(call) = self.call.take() {
@@ -67,7 +67,7 @@
 
     /// How a response that is not a complete stream ends the call: as a server failure or without
     /// information.
-    pub(super) fn end_without_stream(&self) -> CallEnd {
+    pub(super) fn end_of_unstreamed(&self) -> CallEnd {
         if self.head.status.is_server_error() {
             CallEnd::Failed
         } else {
@@ -78,12 +78,12 @@
     /// How a complete response ends the call.
     fn end_of_answer(&self, generated: u32, took: Duration) -> CallEnd {
         if !self.head.status.is_success() {
-            return self.end_without_stream();
+            return self.end_of_unstreamed();
         }
         CallEnd::Whole {
             generated,
             first_tokens: self.first_tokens,
-            first_part_ms: milliseconds(self.first_part.unwrap_or(took)),
+            first_part_ms: milliseconds(self.first_chunk_after.unwrap_or(took)),
             took_ms: milliseconds(took),
         }
     }
@@ -116,7 +116,7 @@
 
 /// The prompt segments whose caching matters for server selection; empty if the route has no
 /// affinity.
-fn parts_of(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
+fn affinity_segments(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
     if !route.affinity {
         return Vec::new();
     }
@@ -126,7 +126,7 @@
     let key = call.affinity_key.as_ref();
     let part = key.map(|key| PromptPart {
         id: xxh3_64(key.as_bytes()),
-        tokens: TOKENS_OF_KEY,
+        tokens: AFFINITY_KEY_TOKENS,
     });
     part.into_iter().collect()
 }
@@ -188,7 +188,7 @@
         log.tenant = caller.tenant_name().unwrap_or_default().to_owned();
         Self {
             body: call.body.clone(),
-            parts: parts_of(&call, &route),
+            parts: affinity_segments(&call, &route),
             homes: HomeRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
             standing: Standing::UnderWay,
@@ -214,16 +214,19 @@
     }
 
     /// Sends the request until a server responds.
-    pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<Opened, Refusal> {
+    pub(super) async fn open(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<OpenedResponse, Refusal> {
         loop {
-            if self.time_left() < LEAST_TIME {
-                return Err(self.out_of_time());
+            if self.time_left() < MIN_ATTEMPT_TIME {
+                return Err(self.deadline_refusal());
             }
             if let Err(refusal) = self.take_permit().await {
-                return Err(self.not_sent_again(refusal));
+                return Err(self.final_refusal(refusal));
             }
             let Some(assigned) = self.assign().await? else {
-                return Err(self.out_of_servers());
+                return Err(self.no_server_refusal());
             };
             let Assignment {
                 chosen,
@@ -234,7 +237,8 @@
             let uncached_tokens = inputs.uncached_tokens;
             self.log.choice = inputs;
             // A reserved server is already counted as in flight.
-            let in_flight = in_flight.unwrap_or_else(|| InFlight::begin(&self.core, &chosen.id));
+            let in_flight =
+                in_flight.unwrap_or_else(|| InFlightGuard::begin(&self.core, &chosen.id));
             let upstream = match self.connect(&chosen).await {
                 Ok(upstream) => upstream,
                 Err(error) => {
@@ -245,11 +249,11 @@
             };
             // No await point between this check and the send.
             if let Err(refusal) = self.check_access() {
-                upstream.finish();
-                return Err(self.not_sent_again(refusal));
+                upstream.release();
+                return Err(self.final_refusal(refusal));
             }
             if self.permit.as_mut().is_some_and(|permit| !permit.send()) {
-                upstream.finish();
+                upstream.release();
                 self.permit = None;
                 self.reserved = Some(Assignment {
                     chosen,
@@ -263,22 +267,22 @@
                     if !self.is_refused(&head, &chosen) {
                         self.permit = None;
                         self.log.server = chosen.id.clone();
-                        return Ok(Opened {
+                        return Ok(OpenedResponse {
                             head,
                             upstream,
                             server: chosen.id,
                             sent_at,
                             uncached_tokens,
-                            first_part: None,
+                            first_chunk_after: None,
                             first_tokens: 0,
                             call,
                             _in_flight: in_flight,
                         });
                     }
                     end_call(call, CallEnd::Refused);
-                    self.log.note_refusal(&chosen.id, head.status.as_u16());
+                    self.log.record_refusal(&chosen.id, head.status.as_u16());
                     self.exclude(&chosen.id);
-                    upstream.finish();
+                    upstream.release();
                     if let Some(permit) = self.permit.take() {
                         permit.not_run();
                     }
@@ -295,7 +299,7 @@
     }
 
     /// The regions in which the turn may be stored; any if it isn't stored.
-    pub(super) fn kept_within(&self) -> &HomeRegions {
+    pub(super) fn storage_regions(&self) -> &HomeRegions {
         if self.route.keeps_turns {
             &self.homes
         } else {
@@ -310,8 +314,8 @@
     }
 
     /// Whether the request may be sent again after a server received it.
-    pub(super) fn may_repeat(&self) -> bool {
-        self.route.is_idempotent() && self.time_left() >= LEAST_TIME
+    pub(super) fn may_retry(&self) -> bool {
+        self.route.is_idempotent() && self.time_left() >= MIN_ATTEMPT_TIME
     }
 
     /// Frees the body once no attempt can need it: a response has begun and the request must not be
@@ -329,18 +333,22 @@
 
     /// Records a complete response with the given number of generated tokens. Returns the prompt
     /// segments that the server now has cached.
-    pub(super) fn note_finished(&self, opened: &mut Opened, generated: u32) -> CachedPrompt {
+    pub(super) fn record_finished(
+        &self,
+        opened: &mut OpenedResponse,
+        generated: u32,
+    ) -> CachedPrompt {
         let took = opened.sent_at.elapsed();
-        let cached = self.note_read_prompt(opened, generated, took);
+        let cached = self.record_processed(opened, generated, took);
         opened.end_call(opened.end_of_answer(generated, took));
         cached
     }
 
     /// Records that a server has processed the call, without ending it at the pool scheduler.
     /// Returns the prompt segments that the server now has cached.
-    pub(super) fn note_read_prompt(
+    pub(super) fn record_processed(
         &self,
-        opened: &Opened,
+        opened: &OpenedResponse,
         generated: u32,
         took: Duration,
     ) -> CachedPrompt {
@@ -354,24 +362,24 @@
 
     /// Reports the outcome of a complete response to the other gateways and, if not yet done, the
     /// end of the call to the pool scheduler.
-    pub(super) fn note_answered(&self, opened: &mut Opened) {
+    pub(super) fn record_outcome(&self, opened: &mut OpenedResponse) {
         let report = CallReport::of_answer(opened.head.status);
         self.core.report(&opened.server, report);
-        opened.end_call(opened.end_without_stream());
+        opened.end_call(opened.end_of_unstreamed());
     }
 
     /// Records the duration of a non-streaming response, or of a wait that timed out.
-    pub(super) fn note_answer_time(&self, took: Duration) {
+    pub(super) fn record_response_time(&self, took: Duration) {
         let mut times = self.core.response_times.borrow_mut();
         times.record(&self.route.name, took);
     }
 
     /// Records the arrival of the first chunk of a response.
-    pub(super) fn note_read(&mut self, opened: &mut Opened) {
-        self.log.note_first_part();
+    pub(super) fn record_first_chunk(&mut self, opened: &mut OpenedResponse) {
+        self.log.record_first_chunk();
         let now = self.core.clock.now();
         let took = opened.sent_at.elapsed();
-        opened.first_part.get_or_insert(took);
+        opened.first_chunk_after.get_or_insert(took);
         let unread = opened.uncached_tokens;
         let mut servers = self.core.servers.borrow_mut();
         servers.record_first_chunk(&opened.server, &self.parts, unread, took, now);
@@ -381,7 +389,7 @@
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    pub(super) fn out_of_time(&self) -> Refusal {
+    pub(super) fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::TimedOut
         } else {
@@ -389,7 +397,7 @@
         }
     }
 
-    fn out_of_servers(&self) -> Refusal {
+    fn no_server_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::Broken
         } else {
@@ -398,15 +406,15 @@
     }
 
     /// Records that a server failed after it received the request.
-    pub(super) fn note_broken(&mut self, server: &str, error: &UpstreamError) {
-        self.note_lost(server, error);
+    pub(super) fn record_failure(&mut self, server: &str, error: &UpstreamError) {
+        self.record_truncated(server, error);
         self.core.report(server, CallReport::Failed);
     }
 
     /// Records that the response was truncated through no fault of the server.
-    pub(super) fn note_lost(&mut self, server: &str, error: &UpstreamError) {
+    pub(super) fn record_truncated(&mut self, server: &str, error: &UpstreamError) {
         self.may_have_run = true;
-        self.log.note_error(server, error);
+        self.log.record_error(server, error);
     }
 
     /// Takes a permit for the next attempt, if the tenant has a quota.
@@ -426,7 +434,7 @@
         let pool = self.core.pool.clone();
         let connected = pool.connect(&chosen.id, chosen.address, self.body.len());
         let upstream = connected.await?;
-        if let Some(took) = upstream.connected_in() {
+        if let Some(took) = upstream.connect_time() {
             let mut servers = self.core.servers.borrow_mut();
             servers.record_connection(&chosen.id, &self.core.zone, took);
         }
@@ -443,11 +451,11 @@
         }
         self.core
             .access
-            .check_again(&self.caller, self.version, routing, proof_age)
+            .recheck(&self.caller, self.version, routing, proof_age)
     }
 
     /// The refusal returned if no further attempt is made.
-    pub(super) fn not_sent_again(&self, refusal: Refusal) -> Refusal {
+    pub(super) fn final_refusal(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             Refusal::Broken
         } else {
@@ -471,27 +479,28 @@
         let core = &self.core;
         let request_id = &self.call.request_id;
         let is_ours = |head: &ResponseHead| {
-            let answered = core.codec.read_answer(head).request_id;
-            answered.is_none_or(|id| id == *request_id)
+            let received = core.codec.read_answer(head).request_id;
+            received.is_none_or(|id| id == *request_id)
         };
-        let silence = self.response_timeout();
-        let patience = silence.filter(|silence| sent_at + *silence < self.deadline);
-        let limit = patience.map_or(self.deadline, |patience| sent_at + patience);
-        let answered = upstream.exchange(request, limit, is_ours).await;
-        if let (Err(UpstreamError::TimedOut), Some(patience)) = (&answered, patience) {
-            self.note_answer_time(patience);
+        let usual_timeout = self.response_timeout();
+        let retry_timeout =
+            usual_timeout.filter(|usual_timeout| sent_at + *usual_timeout < self.deadline);
+        let limit = retry_timeout.map_or(self.deadline, |retry_timeout| sent_at + retry_timeout);
+        let received = upstream.exchange(request, limit, is_ours).await;
+        if let (Err(UpstreamError::TimedOut), Some(retry_timeout)) = (&received, retry_timeout) {
+            self.record_response_time(retry_timeout);
             return Err(UpstreamError::Silent);
         }
-        let head = answered?;
+        let head = received?;
         Ok((head, upstream, sent_at))
     }
 
     /// How long to wait for a response before another server is tried; `None` if the call can't be
     /// retried.
     fn response_timeout(&self) -> Option<Duration> {
-        let may_go_on = self.attempted_servers.len() < self.route.max_attempts as usize;
+        let has_attempts_left = self.attempted_servers.len() < self.route.max_attempts as usize;
         let is_limited = self.core.policy.uses(Mechanism::SilenceLimit);
-        if self.route.kind != CallKind::Repeatable || !may_go_on || !is_limited {
+        if self.route.kind != CallKind::Repeatable || !has_attempts_left || !is_limited {
             return None;
         }
         let times = self.core.response_times.borrow();
@@ -538,21 +547,21 @@
     fn on_error(&mut self, chosen: &SelectedServer, error: &UpstreamError) -> Result<(), Refusal> {
         match error {
             UpstreamError::NotSent { .. } => {
-                self.log.note_error(&chosen.id, error);
+                self.log.record_error(&chosen.id, error);
                 self.core.report(&chosen.id, CallReport::Failed);
                 // An unreachable server does not count as an attempt.
                 self.exclude(&chosen.id);
                 Ok(())
             }
             UpstreamError::Broken { .. } | UpstreamError::Silent => {
-                self.note_broken(&chosen.id, error);
-                if self.may_repeat() {
+                self.record_failure(&chosen.id, error);
+                if self.may_retry() {
                     return Ok(());
                 }
                 Err(Refusal::Broken)
             }
             UpstreamError::TimedOut => {
-                self.log.note_error(&chosen.id, error);
+                self.log.record_error(&chosen.id, error);
                 Err(Refusal::TimedOut)
             }
         }
--- a/crates/courseshed-edge/src/gateway/call_log.rs
+++ b/crates/courseshed-edge/src/gateway/call_log.rs
@@ -24,9 +24,9 @@
     pub resumed: usize,
     pub status: u16,
     /// Time from the arrival of the request to the first chunk of the response.
-    first_part: Option<Duration>,
+    first_chunk_after: Option<Duration>,
     /// Time left to the program when the request arrived.
-    program_left: Option<Duration>,
+    program_time_left: Option<Duration>,
     /// Inputs of the most recent server selection.
     pub choice: ChoiceInputs,
     /// Who selected the last server, the pool scheduler or this gateway; empty if none was
@@ -43,7 +43,7 @@
     program: String,
     route: String,
     service: String,
-    began: Instant,
+    started_at: Instant,
     metrics: Arc<Metrics>,
 }
 
@@ -65,8 +65,8 @@
             events: 0,
             resumed: 0,
             status: 0,
-            first_part: None,
-            program_left: call.program.as_ref().and_then(|claim| claim.time_left),
+            first_chunk_after: None,
+            program_time_left: call.program.as_ref().and_then(|claim| claim.time_left),
             choice: ChoiceInputs::default(),
             chosen_by: "",
             schedule: DecisionInputs::default(),
@@ -77,24 +77,24 @@
             program: program.unwrap_or_default(),
             route: route.name.clone(),
             service: service.to_owned(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             metrics,
         }
     }
 
     /// Records the arrival of the first chunk of a response.
-    pub(super) fn note_first_part(&mut self) {
-        let now = self.began.elapsed();
-        self.first_part.get_or_insert(now);
+    pub(super) fn record_first_chunk(&mut self) {
+        let now = self.started_at.elapsed();
+        self.first_chunk_after.get_or_insert(now);
     }
 
     /// Records that a server refused the call without executing it.
-    pub(super) fn note_refusal(&mut self, server: &str, status: u16) {
+    pub(super) fn record_refusal(&mut self, server: &str, status: u16) {
         self.refusals.push(format!("{server}:{status}"));
     }
 
     /// Records the error of an attempt at a server.
-    pub(super) fn note_error(&mut self, server: &str, error: &UpstreamError) {
+    pub(super) fn record_error(&mut self, server: &str, error: &UpstreamError) {
         self.last_error = format!("{server}: {error}");
     }
 }
@@ -112,7 +112,7 @@
         self.metrics.calls.get_or_create(&labels).inc();
         self.metrics
             .call_seconds
-            .observe(self.began.elapsed().as_secs_f64());
+            .observe(self.started_at.elapsed().as_secs_f64());
         self.metrics.attempts.inc_by(self.attempts as u64);
         self.metrics.resumed.inc_by(self.resumed as u64);
         log::info!(
@@ -141,9 +141,9 @@
             scheduler_calls_there = self.schedule.calls,
             slack_percent = self.schedule.slack_percent,
             last_error = self.last_error.as_str(),
-            program_left_ms = self.program_left.map(milliseconds),
-            first_part_ms = self.first_part.map(milliseconds),
-            took_ms = milliseconds(self.began.elapsed());
+            program_left_ms = self.program_time_left.map(milliseconds),
+            first_part_ms = self.first_chunk_after.map(milliseconds),
+            took_ms = milliseconds(self.started_at.elapsed());
             "request finished"
         );
     }
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -49,8 +49,8 @@
     /// The zone of this gateway.
     pub zone: String,
     /// When a graceful shutdown terminates the process; `None` while not shutting down.
-    pub ends_at: Cell<Option<Instant>>,
-    pub under_way: Cell<usize>,
+    pub shutdown_at: Cell<Option<Instant>>,
+    pub in_flight_requests: Cell<usize>,
     splits: RefCell<HashMap<String, RouteSplit>>,
 }
 
@@ -61,7 +61,7 @@
 }
 
 /// The components that [`GatewayCore::new`] assembles.
-pub(super) struct CoreParts {
+pub(super) struct CoreConfig {
     pub codec: Box<dyn CallCodec>,
     pub follower: Arc<FleetFollower>,
     pub records: RecordClient,
@@ -77,8 +77,8 @@
 }
 
 impl GatewayCore {
-    pub(super) fn new(parts: CoreParts) -> Rc<Self> {
-        let CoreParts {
+    pub(super) fn new(config: CoreConfig) -> Rc<Self> {
+        let CoreConfig {
             codec,
             follower,
             records,
@@ -89,7 +89,7 @@
             policy,
             tenants,
             memory,
-        } = parts;
+        } = config;
         let access = tenants.revocation.map(AccessTerms::strict);
         Rc::new(Self {
             codec,
@@ -110,20 +110,20 @@
             quotas: Quotas::new(tenants.quota),
             response_times: RefCell::default(),
             zone,
-            ends_at: Cell::new(None),
-            under_way: Cell::new(0),
+            shutdown_at: Cell::new(None),
+            in_flight_requests: Cell::new(0),
             splits: RefCell::default(),
         })
     }
 
     /// Whether a graceful shutdown has begun.
     pub(super) fn is_draining(&self) -> bool {
-        self.ends_at.get().is_some()
+        self.shutdown_at.get().is_some()
     }
 
     /// Whether the process will still be running at `time`.
-    pub(super) fn is_there_at(&self, time: Instant) -> bool {
-        self.ends_at.get().is_none_or(|end| time <= end)
+    pub(super) fn is_running_at(&self, time: Instant) -> bool {
+        self.shutdown_at.get().is_none_or(|end| time <= end)
     }
 
     /// Picks the service for the next call of a route.
@@ -144,9 +144,9 @@
 
     /// Drops the state of routes that no longer exist.
     pub(super) fn retain_routes(&self, table: &RoutingTable) {
-        let is_there = |name: &str| table.routes.iter().any(|route| route.name == name);
-        self.splits.borrow_mut().retain(|name, _| is_there(name));
-        self.response_times.borrow_mut().retain(is_there);
+        let exists = |name: &str| table.routes.iter().any(|route| route.name == name);
+        self.splits.borrow_mut().retain(|name, _| exists(name));
+        self.response_times.borrow_mut().retain(exists);
     }
 
     pub(super) fn report(&self, server: &str, report: CallReport) {
@@ -154,25 +154,25 @@
         let mut servers = self.servers.borrow_mut();
         servers.report(server, report, now);
         servers.reevaluate_after(server, report, now);
-        self.tell_changes(&mut servers);
+        self.log_changes(&mut servers);
     }
 
     /// Re-evaluates which servers are avoided.
     pub(super) fn reevaluate_avoidance(&self) {
         let mut servers = self.servers.borrow_mut();
         servers.reevaluate_avoidance(self.clock.now());
-        self.tell_changes(&mut servers);
+        self.log_changes(&mut servers);
     }
 
     /// Re-evaluates which servers are avoided and refreshes the metric, since servers may have been
     /// delisted.
-    pub(super) fn tell_avoided(&self) {
+    pub(super) fn refresh_avoided(&self) {
         self.reevaluate_avoidance();
         self.metrics.set_avoided(&self.servers.borrow().avoided());
     }
 
     /// Logs servers that start or stop being avoided, and updates the metric.
-    fn tell_changes(&self, servers: &mut ServerTable) {
+    fn log_changes(&self, servers: &mut ServerTable) {
         let changes = servers.take_changes();
         if changes.is_empty() {
             return;
@@ -212,12 +212,12 @@
 }
 
 /// Counts a request as in flight at a server until dropped.
-pub(super) struct InFlight {
+pub(super) struct InFlightGuard {
     core: Rc<GatewayCore>,
     server: String,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(super) fn begin(core: &Rc<GatewayCore>, server: &str) -> Self {
         let now = core.clock.now();
         let mut servers = core.servers.borrow_mut();
@@ -231,7 +231,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.core.servers.borrow_mut().end(&self.server);
     }
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -13,7 +13,7 @@
 use snafu::Snafu;
 use tokio::time::timeout_at;
 
-use super::attempts::{Attempts, Opened};
+use super::attempts::{Attempts, OpenedResponse};
 use super::memory_budget::BufferKind;
 use super::memory_tracker::RequestMemory;
 use super::refusal::Refusal;
@@ -22,10 +22,10 @@
 use crate::http::is_of_connection;
 
 /// Longest response that is buffered completely, in bytes.
-const WHOLE_ANSWER: usize = 1024 * 1024;
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
 /// Size of the chunks passed to the client's connection, in bytes; the HTTP library writes that
 /// much at once.
-const PIECE: usize = 8 * 1024;
+const CHUNK_BYTES: usize = 8 * 1024;
 
 /// Forwards a call and returns the response.
 pub(super) async fn forward(mut attempts: Attempts) -> Response<BoxBody> {
@@ -36,12 +36,12 @@
         };
         attempts.release_body();
         match read_body(&mut opened, &attempts).await {
-            Ok(read) => return answer(attempts, opened, read),
+            Ok(read) => return respond(attempts, opened, read),
             Err(UpstreamError::TimedOut) => return refuse(attempts, Refusal::TimedOut),
             Err(error) => {
-                attempts.note_broken(&opened.server, &error);
+                attempts.record_failure(&opened.server, &error);
                 opened.end_call(CallEnd::Broken);
-                if !attempts.may_repeat() {
+                if !attempts.may_retry() {
                     return refuse(attempts, Refusal::Broken);
                 }
             }
@@ -58,36 +58,39 @@
 }
 
 /// The part of a response that was buffered before the client receives any of it.
-pub(super) enum AnswerRead {
+pub(super) enum BufferedResponse {
     /// The complete body.
-    Whole(Bytes),
+    Complete(Bytes),
     /// The beginning of the body.
-    Begun(Bytes),
+    Partial(Bytes),
 }
 
-async fn read_body(opened: &mut Opened, attempts: &Attempts) -> Result<AnswerRead, UpstreamError> {
-    let read = read_to_bound(opened, attempts).await?;
+async fn read_body(
+    opened: &mut OpenedResponse,
+    attempts: &Attempts,
+) -> Result<BufferedResponse, UpstreamError> {
+    let read = read_up_to_limit(opened, attempts).await?;
     // Server errors don't represent the latency of calls.
     if !opened.head.status.is_server_error() {
         let took = opened.sent_at.elapsed();
         attempts
             .core
             .report(&opened.server, CallReport::Latency(took));
-        attempts.note_answer_time(took);
+        attempts.record_response_time(took);
         match read {
-            AnswerRead::Whole(_) => attempts.note_finished(opened, 0),
+            BufferedResponse::Complete(_) => attempts.record_finished(opened, 0),
             // The rest arrives at the client's pace, and the engine stays occupied until then.
-            AnswerRead::Begun(_) => attempts.note_read_prompt(opened, 0, took),
+            BufferedResponse::Partial(_) => attempts.record_processed(opened, 0, took),
         };
     }
     Ok(read)
 }
 
 /// Reads a response body up to the buffer limit.
-pub(super) async fn read_to_bound(
-    opened: &mut Opened,
+pub(super) async fn read_up_to_limit(
+    opened: &mut OpenedResponse,
     attempts: &Attempts,
-) -> Result<AnswerRead, UpstreamError> {
+) -> Result<BufferedResponse, UpstreamError> {
     let upstream = &mut opened.upstream;
     let memory = &attempts.memory;
     let read = async {
@@ -95,11 +98,11 @@
         while let Some(chunk) = upstream.next_chunk().await? {
             body.extend_from_slice(&chunk);
             memory.set(BufferKind::Response, body.capacity() + upstream.buffered());
-            if body.len() > WHOLE_ANSWER || !memory.has_room() {
-                return Ok(AnswerRead::Begun(body.freeze()));
+            if body.len() > MAX_BUFFERED_BYTES || !memory.has_room() {
+                return Ok(BufferedResponse::Partial(body.freeze()));
             }
         }
-        Ok(AnswerRead::Whole(body.freeze()))
+        Ok(BufferedResponse::Complete(body.freeze()))
     };
     timeout_at(attempts.deadline, read)
         .await
@@ -107,41 +110,41 @@
 }
 
 /// Responds with the buffered part, followed by the rest of the body.
-pub(super) fn answer(
+pub(super) fn respond(
     mut attempts: Attempts,
-    mut opened: Opened,
-    read: AnswerRead,
+    mut opened: OpenedResponse,
+    read: BufferedResponse,
 ) -> Response<BoxBody> {
-    let response = answer_head(&opened.head);
+    let response = response_head(&opened.head);
     attempts.log.status = opened.head.status.as_u16();
     match read {
-        AnswerRead::Whole(body) => {
+        BufferedResponse::Complete(body) => {
             attempts.log.outcome = "answered";
-            attempts.note_answered(&mut opened);
-            opened.upstream.finish();
-            response.set_body(BoxBody::new(WholeAnswer {
+            attempts.record_outcome(&mut opened);
+            opened.upstream.release();
+            response.set_body(BoxBody::new(BufferedBody {
                 rest: body,
                 _memory: attempts.memory,
             }))
         }
-        AnswerRead::Begun(ready) => {
-            let pieces = Pieces {
+        BufferedResponse::Partial(ready) => {
+            let body = StreamedBody {
                 attempts,
                 opened,
                 ready,
             };
-            response.set_body(BoxBody::new(BodyStream::new(Box::pin(pieces.stream()))))
+            response.set_body(BoxBody::new(BodyStream::new(Box::pin(body.stream()))))
         }
     }
 }
 
 /// A completely buffered body, released in chunks as the client's connection accepts them.
-struct WholeAnswer {
+struct BufferedBody {
     rest: Bytes,
     _memory: RequestMemory,
 }
 
-impl MessageBody for WholeAnswer {
+impl MessageBody for BufferedBody {
     type Error = std::convert::Infallible;
 
     fn size(&self) -> BodySize {
@@ -152,40 +155,40 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        let length = self.rest.len().min(PIECE);
-        let piece = self.rest.split_to(length);
-        Poll::Ready((!piece.is_empty()).then_some(Ok(piece)))
+        let length = self.rest.len().min(CHUNK_BYTES);
+        let chunk = self.rest.split_to(length);
+        Poll::Ready((!chunk.is_empty()).then_some(Ok(chunk)))
     }
 }
 
 /// The response was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
 #[snafu(display("the response was truncated"))]
-struct BrokenOff;
+struct Truncated;
 
 /// A response that is streamed to the client after its buffered beginning.
-struct Pieces {
+struct StreamedBody {
     attempts: Attempts,
-    opened: Opened,
+    opened: OpenedResponse,
     ready: Bytes,
 }
 
-impl Pieces {
-    fn stream(self) -> impl stream::Stream<Item = Result<Bytes, BrokenOff>> {
-        stream::unfold(Some(self), |pieces| async {
-            let mut pieces = pieces?;
-            match pieces.next().await {
-                Ok(Some(piece)) => Some((Ok(piece), Some(pieces))),
+impl StreamedBody {
+    fn stream(self) -> impl stream::Stream<Item = Result<Bytes, Truncated>> {
+        stream::unfold(Some(self), |body| async {
+            let mut body = body?;
+            match body.next().await {
+                Ok(Some(chunk)) => Some((Ok(chunk), Some(body))),
                 Ok(None) => {
-                    pieces.attempts.log.outcome = "answered";
-                    pieces.attempts.note_answered(&mut pieces.opened);
-                    pieces.opened.upstream.finish();
+                    body.attempts.log.outcome = "answered";
+                    body.attempts.record_outcome(&mut body.opened);
+                    body.opened.upstream.release();
                     None
                 }
                 Err(error) => {
-                    pieces.note_end(&error);
-                    pieces.attempts.log.outcome = "broken_off";
-                    Some((Err(BrokenOff), None))
+                    body.record_truncation(&error);
+                    body.attempts.log.outcome = "broken_off";
+                    Some((Err(Truncated), None))
                 }
             }
         })
@@ -193,13 +196,13 @@
 
     /// Records why the rest of the response is missing. A passed deadline may be due to a slow
     /// client and does not count against the server.
-    fn note_end(&mut self, error: &UpstreamError) {
+    fn record_truncation(&mut self, error: &UpstreamError) {
         let server = &self.opened.server;
         if matches!(error, UpstreamError::TimedOut) {
-            self.attempts.log.note_error(server, error);
+            self.attempts.log.record_error(server, error);
             return;
         }
-        self.attempts.note_broken(server, error);
+        self.attempts.record_failure(server, error);
         self.opened.end_call(CallEnd::Broken);
     }
 
@@ -207,7 +210,7 @@
     /// previous one.
     async fn next(&mut self) -> Result<Option<Bytes>, UpstreamError> {
         if !self.ready.is_empty() {
-            let length = self.ready.len().min(PIECE);
+            let length = self.ready.len().min(CHUNK_BYTES);
             return Ok(Some(self.ready.split_to(length)));
         }
         self.ready = Bytes::new();
@@ -220,11 +223,11 @@
 }
 
 /// The head of the server's response, without hop-by-hop headers.
-pub(super) fn answer_head(head: &ResponseHead) -> Response<BoxBody> {
+pub(super) fn response_head(head: &ResponseHead) -> Response<BoxBody> {
     let mut response = Response::new(head.status);
     for (name, value) in head.headers() {
-        let is_written_anew = name == header::CONTENT_LENGTH || name == header::DATE;
-        if !is_of_connection(name.as_str()) && !is_written_anew {
+        let is_regenerated = name == header::CONTENT_LENGTH || name == header::DATE;
+        if !is_of_connection(name.as_str()) && !is_regenerated {
             response.headers_mut().append(name.clone(), value.clone());
         }
     }
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -20,11 +20,11 @@
 /// Added to the retention of a route, for programs and turns.
 const RETENTION_MARGIN_MS: u64 = 15_000;
 /// Minimum retention of a program without stored turns.
-const LEAST_RETENTION_MS: u64 = 60_000;
+const MIN_RETENTION_MS: u64 = 60_000;
 
 /// Retention of the records of a program, in milliseconds.
 pub(super) fn keep_ms(route: &Route) -> u64 {
-    route.retention_ms.max(LEAST_RETENTION_MS) + RETENTION_MARGIN_MS
+    route.retention_ms.max(MIN_RETENTION_MS) + RETENTION_MARGIN_MS
 }
 
 /// The program's key in the record stores; qualified by the tenant, since tenants may use the same
@@ -55,7 +55,7 @@
 
 impl TokenReservation {
     /// Sets the prompt segments that the server has cached after this turn.
-    pub(super) fn note_cached(&mut self, cached: CachedPrompt) {
+    pub(super) fn set_cached(&mut self, cached: CachedPrompt) {
         self.cached = Some(cached);
     }
 
@@ -107,7 +107,7 @@
         return Ok(None);
     };
     // Created before the stores are asked, so that the reservation is settled in every case.
-    let mut held = TokenReservation {
+    let mut guard = TokenReservation {
         records: core.records.clone(),
         program: program_key(tenant, &claim.program),
         id: xxh3_64(call.request_id.as_bytes()),
@@ -120,22 +120,22 @@
         hints: Vec::new(),
     };
     let reservation = Reservation {
-        program: held.program.clone(),
-        id: held.id,
+        program: guard.program.clone(),
+        id: guard.id,
         most,
     };
     let decision = core
         .records
-        .reserve(reservation, budget, held.keep_ms, deadline)
+        .reserve(reservation, budget, guard.keep_ms, deadline)
         .await;
     match decision {
         Ok((ReservationDecision::Granted { is_first }, hints)) => {
-            held.is_first = is_first;
+            guard.is_first = is_first;
             if core.policy.uses(Mechanism::ProgramHints) {
-                note_hints(core, &hints);
-                held.hints = hints;
+                record_hints(core, &hints);
+                guard.hints = hints;
             }
-            Ok(Some(held))
+            Ok(Some(guard))
         }
         Ok((ReservationDecision::Spent { by_others }, _)) => {
             log::info!(event = "budget_spent", request = call.request_id.as_str(), program = claim.program.as_str(), budget, by_others, most; "turn exceeds the token budget of its program");
@@ -146,7 +146,7 @@
 }
 
 /// Records which servers have prompts cached from calls of other gateways.
-fn note_hints(core: &GatewayCore, hints: &[CachedPrompt]) {
+fn record_hints(core: &GatewayCore, hints: &[CachedPrompt]) {
     let now = core.clock.now();
     let mut servers = core.servers.borrow_mut();
     for cached in hints {
@@ -187,7 +187,7 @@
         let partition = core.records.home_within(&program, homes);
         return Ok(ComposedBody {
             body: call.body.clone(),
-            partition: partition.ok_or_else(|| no_home(call))?,
+            partition: partition.ok_or_else(|| no_partition(call))?,
             hint: None,
         });
     };
@@ -201,7 +201,7 @@
     };
     let partition = chain.partition;
     if !core.records.may_keep(partition, homes) {
-        return Err(no_home(call));
+        return Err(no_partition(call));
     }
     let chain = chain.turns;
     let is_own = chain.iter().all(|turn| turn.tenant.as_deref() == tenant);
@@ -235,13 +235,13 @@
 }
 
 /// No partition is allowed to store the turn, so it is not started.
-fn no_home(call: &CallEnvelope) -> Refusal {
+fn no_partition(call: &CallEnvelope) -> Refusal {
     log::info!(event = "no_home", request = call.request_id.as_str(); "no partition has all its replicas in the allowed regions");
     Refusal::NoRecords
 }
 
 /// Builds the record of a completed turn.
-pub(super) fn turn_of(
+pub(super) fn build_turn(
     call: &CallEnvelope,
     tenant: Option<&str>,
     output: Bytes,
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -16,7 +16,7 @@
 use super::access::{Caller, TenantTerms};
 use super::attempts::{Attempts, CallTimes, ChosenService};
 use super::call::{CallCodec, CallEnvelope, Credential};
-use super::core::{CoreParts, GatewayCore};
+use super::core::{CoreConfig, GatewayCore};
 use super::load::share_load;
 use super::memory_budget::HeldTerms;
 use super::memory_tracker::{RequestMemory, monitor_connections};
@@ -129,7 +129,7 @@
     );
     let schedulers =
         SchedulerClient::new(peers.clone(), follower.clone(), settings.metrics.clone());
-    let core = GatewayCore::new(CoreParts {
+    let core = GatewayCore::new(CoreConfig {
         codec: settings.codec,
         follower,
         records,
@@ -191,7 +191,7 @@
     loop {
         sleep(TIDY_INTERVAL).await;
         core.servers.borrow_mut().remove_expired(core.clock.now());
-        core.tell_avoided();
+        core.refresh_avoided();
         core.pool.retain(|id| core.servers.borrow().contains(id));
     }
 }
@@ -242,7 +242,8 @@
 }
 
 async fn answer(core: Rc<GatewayCore>, request: Request) -> Response<BoxBody> {
-    core.under_way.set(core.under_way.get() + 1);
+    core.in_flight_requests
+        .set(core.in_flight_requests.get() + 1);
     let counted = UnderWay(core.clone());
     let mut response = match admit(&core, request).await {
         Ok((attempts, tokens_per_event)) => forward_by_kind(attempts, tokens_per_event).await,
@@ -291,7 +292,7 @@
     };
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadline = arrived + call.time_left.map_or(timeout, |left| left.min(timeout));
-    if !core.is_there_at(deadline) {
+    if !core.is_running_at(deadline) {
         log::info!(event = "leaving", request = call.request_id.as_str(); "request rejected: the gateway shuts down before its deadline");
         return Err(Refusal::Leaving);
     }
@@ -402,7 +403,9 @@
 
 impl Drop for UnderWay {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - 1);
+        self.0
+            .in_flight_requests
+            .set(self.0.in_flight_requests.get() - 1);
     }
 }
 
@@ -430,15 +433,15 @@
 /// Reports not ready, keeps serving for the drain period and waits for in-flight requests.
 async fn drain(core: &Rc<GatewayCore>, grace: Duration) {
     let began = Instant::now();
-    core.ends_at.set(Some(began + grace));
-    log::info!(event = "draining", under_way = core.under_way.get(); "shutting down: draining requests");
+    core.shutdown_at.set(Some(began + grace));
+    log::info!(event = "draining", under_way = core.in_flight_requests.get(); "shutting down: draining requests");
     loop {
         let passed = began.elapsed();
-        let is_done = passed >= LEAVING_TIME && core.under_way.get() == 0;
+        let is_done = passed >= LEAVING_TIME && core.in_flight_requests.get() == 0;
         if is_done || passed >= grace {
             break;
         }
         sleep(STOP_CHECK).await;
     }
-    log::info!(event = "drained", under_way = core.under_way.get(); "drain finished");
+    log::info!(event = "drained", under_way = core.in_flight_requests.get(); "drain finished");
 }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -16,33 +16,33 @@
 use snafu::Snafu;
 use tokio::time::{Instant, timeout_at};
 
-use super::attempts::{Attempts, LEAST_TIME, Opened};
+use super::attempts::{Attempts, MIN_ATTEMPT_TIME, OpenedResponse};
 use super::events::{Event, EventSplitter};
 use super::memory_budget::BufferKind;
-use super::plain::{answer, answer_head, forward, read_to_bound, refuse};
-use super::program::{TokenReservation, compose_body, keep_ms, reserve, turn_of};
+use super::plain::{forward, read_up_to_limit, refuse, respond, response_head};
+use super::program::{TokenReservation, build_turn, compose_body, keep_ms, reserve};
 use super::refusal::Refusal;
 use super::servers::CallReport;
 use super::upstream::UpstreamError;
 
 /// How long a resumable stream may be silent before it is resumed at another server.
-const SILENCE_BORNE: Duration = Duration::from_millis(1200);
+const MAX_SILENCE: Duration = Duration::from_millis(1200);
 /// Maximum size of an event, in bytes.
-const LARGEST_EVENT: usize = 1024 * 1024;
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
 /// Timeout for storing a turn after its last event.
-const KEEP_LIMIT: Duration = Duration::from_millis(2500);
+const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// Time without reading after which the client is considered stalled. Longer than delays of a busy
 /// gateway, shorter than the write timeout of servers.
-const HELD_BACK: Duration = Duration::from_secs(1);
+const CLIENT_STALL_TIME: Duration = Duration::from_secs(1);
 /// Duration of a read that shows that the server's backlog has been read; much longer than the
 /// latency between zones.
-const CAUGHT_UP: Duration = Duration::from_millis(100);
+const CAUGHT_UP_READ_TIME: Duration = Duration::from_millis(100);
 
 /// The stream was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
 #[snafu(display("the stream was truncated"))]
-struct BrokenOff;
+struct Truncated;
 
 /// Forwards a streaming call.
 pub(super) async fn forward_stream(
@@ -62,7 +62,7 @@
             &attempts.core,
             &attempts.call,
             attempts.caller.tenant_name(),
-            attempts.kept_within(),
+            attempts.storage_regions(),
             attempts.deadline,
             &attempts.memory
         ),
@@ -86,10 +86,10 @@
     };
     attempts.log.status = opened.head.status.as_u16();
     if opened.head.status != StatusCode::OK {
-        return whole(attempts, opened).await;
+        return forward_unstreamed(attempts, opened).await;
     }
     attempts.release_body();
-    let response = answer_head(&opened.head);
+    let response = response_head(&opened.head);
     let relay = EventRelay {
         attempts,
         opened: Some(opened),
@@ -101,19 +101,19 @@
         is_first: true,
         tokens_per_event,
         last_arrival: None,
-        events_here: 0,
-        given_at: None,
-        is_held_back: false,
+        server_events: 0,
+        delivered_at: None,
+        is_client_stalled: false,
     };
     let events = stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
         match relay.next().await {
             Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
             Ok(None) => None,
-            Err(broken) => {
+            Err(truncated) => {
                 // Lets preceding events reach the client, so that it need not request them again.
                 tokio::task::yield_now().await;
-                Some((Err(broken), None))
+                Some((Err(truncated), None))
             }
         }
     });
@@ -121,14 +121,17 @@
 }
 
 /// Forwards a non-streaming response, such as an error.
-async fn whole(mut attempts: Attempts, mut opened: Opened) -> Response<BoxBody> {
+async fn forward_unstreamed(
+    mut attempts: Attempts,
+    mut opened: OpenedResponse,
+) -> Response<BoxBody> {
     attempts.release_body();
-    match read_to_bound(&mut opened, &attempts).await {
-        Ok(read) => answer(attempts, opened, read),
+    match read_up_to_limit(&mut opened, &attempts).await {
+        Ok(read) => respond(attempts, opened, read),
         Err(UpstreamError::TimedOut) => refuse(attempts, Refusal::TimedOut),
         Err(error) => {
             opened.end_call(CallEnd::Broken);
-            attempts.note_broken(&opened.server, &error);
+            attempts.record_failure(&opened.server, &error);
             refuse(attempts, Refusal::Broken)
         }
     }
@@ -137,7 +140,7 @@
 /// A stream that is relayed from a server to a client.
 struct EventRelay {
     attempts: Attempts,
-    opened: Option<Opened>,
+    opened: Option<OpenedResponse>,
     reservation: Option<TokenReservation>,
     /// The partition that stores the turn.
     partition: PartitionId,
@@ -148,22 +151,22 @@
     tokens_per_event: u64,
     /// When the current server last sent events, and how many it has sent.
     last_arrival: Option<Instant>,
-    events_here: u32,
+    server_events: u32,
     /// When data was last passed to the client's connection.
-    given_at: Option<Instant>,
+    delivered_at: Option<Instant>,
     /// Whether the server may have been blocked by the slow client.
-    is_held_back: bool,
+    is_client_stalled: bool,
 }
 
 impl EventRelay {
     /// All complete events received, or `None` at the end of the stream.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
-        let taken_after = self.given_at.map(|given_at| given_at.elapsed());
-        self.is_held_back |= taken_after.is_some_and(|time| time > HELD_BACK);
+    async fn next(&mut self) -> Result<Option<Bytes>, Truncated> {
+        let delivery_time = self.delivered_at.map(|delivered_at| delivered_at.elapsed());
+        self.is_client_stalled |= delivery_time.is_some_and(|time| time > CLIENT_STALL_TIME);
         loop {
             let ready = self.take_events();
             if !ready.is_empty() {
-                self.given_at = Some(Instant::now());
+                self.delivered_at = Some(Instant::now());
                 return Ok(Some(ready));
             }
             match self.read().await {
@@ -176,31 +179,31 @@
                     let error = UpstreamError::Broken {
                         reason: "stream ended within an event".to_owned(),
                     };
-                    self.take_up(&error).await?;
+                    self.resume(&error).await?;
                 }
-                Err(error) => self.take_up(&error).await?,
+                Err(error) => self.resume(&error).await?,
             }
         }
     }
 
     /// Adds received bytes. Aborts the stream if an event exceeds the size limit.
-    fn push(&mut self, chunk: &[u8]) -> Result<(), BrokenOff> {
+    fn push(&mut self, chunk: &[u8]) -> Result<(), Truncated> {
         self.splitter.push(chunk);
-        self.note_held();
-        if self.splitter.partial() > LARGEST_EVENT {
+        self.update_memory();
+        if self.splitter.partial() > MAX_EVENT_BYTES {
             let error = UpstreamError::Broken {
                 reason: "event exceeds the size limit".to_owned(),
             };
             if let Some(mut opened) = self.opened.take() {
-                self.attempts.note_broken(&opened.server, &error);
+                self.attempts.record_failure(&opened.server, &error);
                 opened.end_call(CallEnd::Broken);
             }
-            return self.break_off();
+            return self.abort();
         }
         Ok(())
     }
 
-    fn note_held(&self) {
+    fn update_memory(&self) {
         let upstream = self.opened.as_ref();
         let read = upstream.map_or(0, |opened| opened.upstream.buffered());
         let held = read + self.splitter.held() + self.output.len();
@@ -229,12 +232,12 @@
             }
             ready.extend_from_slice(&event.bytes);
         }
-        self.note_arrived(arrived);
+        self.record_arrived(arrived);
         ready.freeze()
     }
 
     /// Records the latency of events.
-    fn note_arrived(&mut self, events: u32) {
+    fn record_arrived(&mut self, events: u32) {
         let Some(opened) = &mut self.opened else {
             return;
         };
@@ -248,7 +251,7 @@
                 opened.first_tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
                 let core = &self.attempts.core;
                 core.report(&opened.server, CallReport::Answered);
-                self.attempts.note_read(opened);
+                self.attempts.record_first_chunk(opened);
             }
             Some(before) => {
                 let each = now.duration_since(before) / events;
@@ -256,7 +259,7 @@
                 core.report(&opened.server, CallReport::Latency(each));
             }
         }
-        self.events_here += events;
+        self.server_events += events;
     }
 
     fn is_new(&self, event: &Event) -> bool {
@@ -272,12 +275,12 @@
         };
         let mut limit = self.attempts.deadline;
         if self.attempts.route.resumable && !self.is_first {
-            limit = limit.min(Instant::now() + SILENCE_BORNE);
+            limit = limit.min(Instant::now() + MAX_SILENCE);
         }
         let began = Instant::now();
         let chunk = timeout_at(limit, opened.upstream.next_chunk()).await;
-        if began.elapsed() > CAUGHT_UP {
-            self.is_held_back = false;
+        if began.elapsed() > CAUGHT_UP_READ_TIME {
+            self.is_client_stalled = false;
         }
         let chunk = chunk.unwrap_or(Err(UpstreamError::TimedOut))?;
         self.is_first = false;
@@ -285,75 +288,75 @@
     }
 
     /// Resumes the stream at another server after the last forwarded event.
-    async fn take_up(&mut self, error: &UpstreamError) -> Result<(), BrokenOff> {
+    async fn resume(&mut self, error: &UpstreamError) -> Result<(), Truncated> {
         self.splitter = EventSplitter::default();
         if let Some(mut opened) = self.opened.take() {
-            if self.is_to_blame() {
-                self.attempts.note_broken(&opened.server, error);
+            if self.is_server_fault() {
+                self.attempts.record_failure(&opened.server, error);
                 opened.end_call(CallEnd::Broken);
             } else {
-                self.attempts.note_lost(&opened.server, error);
+                self.attempts.record_truncated(&opened.server, error);
                 opened.end_call(CallEnd::Given);
             }
         }
-        if !self.attempts.may_repeat() {
-            return self.break_off();
+        if !self.attempts.may_retry() {
+            return self.abort();
         }
         self.attempts.log.resumed += 1;
         match self.attempts.open(self.last_event).await {
             Ok(opened) if opened.head.status == StatusCode::OK => {
                 self.opened = Some(opened);
                 self.last_arrival = None;
-                self.events_here = 0;
-                self.is_held_back = false;
+                self.server_events = 0;
+                self.is_client_stalled = false;
                 Ok(())
             }
             Ok(mut opened) => {
                 let report = CallReport::of_answer(opened.head.status);
                 self.attempts.core.report(&opened.server, report);
-                opened.end_call(opened.end_without_stream());
-                self.break_off()
+                opened.end_call(opened.end_of_unstreamed());
+                self.abort()
             }
-            Err(_) => self.break_off(),
+            Err(_) => self.abort(),
         }
     }
 
     /// Whether a failure, including a silent stream, counts against the server: not if the deadline
     /// has passed, or if the server may have aborted because the client did not read.
-    fn is_to_blame(&self) -> bool {
-        !self.is_held_back && self.attempts.time_left() >= LEAST_TIME
+    fn is_server_fault(&self) -> bool {
+        !self.is_client_stalled && self.attempts.time_left() >= MIN_ATTEMPT_TIME
     }
 
-    fn break_off(&mut self) -> Result<(), BrokenOff> {
+    fn abort(&mut self) -> Result<(), Truncated> {
         self.attempts.log.outcome = "broken_off";
-        Err(BrokenOff)
+        Err(Truncated)
     }
 
     /// Stores the turn if the route stores turns, and releases the connection.
-    async fn finish(&mut self) -> Result<(), BrokenOff> {
+    async fn finish(&mut self) -> Result<(), Truncated> {
         let mut cached = None;
         if let Some(mut opened) = self.opened.take() {
-            let generated = u64::from(self.events_here) * self.tokens_per_event;
+            let generated = u64::from(self.server_events) * self.tokens_per_event;
             let generated = u32::try_from(generated).unwrap_or(u32::MAX);
-            let held = self.attempts.note_finished(&mut opened, generated);
+            let held = self.attempts.record_finished(&mut opened, generated);
             // A stored turn carries the same hint.
             let is_kept = self.attempts.route.keeps_turns;
             if let Some(reservation) = self.reservation.as_mut().filter(|_| !is_kept) {
-                reservation.note_cached(held.clone());
+                reservation.set_cached(held.clone());
             }
             cached = Some(held);
-            opened.upstream.finish();
+            opened.upstream.release();
         }
         if self.attempts.route.keeps_turns {
             let output = self.output.split().freeze();
-            let turn = turn_of(
+            let turn = build_turn(
                 &self.attempts.call,
                 self.attempts.caller.tenant_name(),
                 output,
                 cached,
             );
             let keep_ms = keep_ms(&self.attempts.route);
-            let deadline = Instant::now() + KEEP_LIMIT;
+            let deadline = Instant::now() + STORE_TIMEOUT;
             let kept = self
                 .attempts
                 .core
@@ -362,7 +365,7 @@
                 .await;
             if kept.is_err() {
                 self.attempts.log.outcome = "turn_not_kept";
-                return Err(BrokenOff);
+                return Err(Truncated);
             }
         }
         self.attempts.log.outcome = "answered";
--- a/crates/courseshed-edge/src/gateway/upstream.rs
+++ b/crates/courseshed-edge/src/gateway/upstream.rs
@@ -24,21 +24,21 @@
 use crate::sockets;
 
 /// Timeout for establishing a connection.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Default keep-alive time if the server does not state one.
-const USUAL_REST: Duration = Duration::from_secs(4);
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
 /// How much earlier than the server's keep-alive timeout a connection is dropped.
-const REST_MARGIN: Duration = Duration::from_millis(800);
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
 /// Maximum number of idle connections per server.
-const KEPT_PER_SERVER: usize = 24;
+const MAX_IDLE_PER_SERVER: usize = 24;
 /// Largest body that socket buffers accept even if the server does not read, in bytes. Larger
 /// bodies use a new connection, which is known to be alive and configured to tolerate servers that
 /// read slowly.
-const SURELY_TAKEN: usize = 32 * 1024;
+const MAX_SOCKET_BUFFERED_BODY: usize = 32 * 1024;
 /// Read size, in bytes; small, to limit the memory held for clients that do not read.
 const READ_BYTES: usize = 8 * 1024;
 /// Maximum size of a response head, in bytes.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
+const MAX_RESPONSE_HEAD: usize = 64 * 1024;
 
 /// Why no response was received.
 #[derive(Debug, Snafu)]
@@ -72,11 +72,11 @@
 /// Idle connections, by server address; each is valid for one server instance.
 #[derive(Clone)]
 pub struct UpstreamPool {
-    kept: Rc<RefCell<HashMap<SocketAddr, Vec<Kept>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     config: ServiceConfig,
 }
 
-struct Kept {
+struct IdleConnection {
     server: String,
     stream: TcpStream,
     usable_until: Instant,
@@ -86,7 +86,7 @@
     #[must_use]
     pub fn new() -> Self {
         Self {
-            kept: Rc::default(),
+            idle: Rc::default(),
             config: ServiceConfig::default(),
         }
     }
@@ -102,17 +102,17 @@
         address: SocketAddr,
         body_bytes: usize,
     ) -> Result<Upstream, UpstreamError> {
-        let is_patient = body_bytes > SURELY_TAKEN;
-        let kept = if is_patient {
+        let tolerates_slow_reads = body_bytes > MAX_SOCKET_BUFFERED_BODY;
+        let idle = if tolerates_slow_reads {
             None
         } else {
-            self.take_kept(server, address)
+            self.take_idle(server, address)
         };
         let began = Instant::now();
-        let is_new = kept.is_none();
-        let stream = match kept {
+        let is_new = idle.is_none();
+        let stream = match idle {
             Some(stream) => stream,
-            None => open(address, is_patient)
+            None => connect_to(address, tolerates_slow_reads)
                 .await
                 .map_err(|source| UpstreamError::NotSent { source })?,
         };
@@ -125,9 +125,9 @@
             payload: None,
             ends_with_connection: false,
             is_reusable: false,
-            is_patient,
-            connected_in: is_new.then(|| began.elapsed()),
-            rest: USUAL_REST,
+            tolerates_slow_reads,
+            connect_time: is_new.then(|| began.elapsed()),
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
@@ -135,33 +135,39 @@
     /// keep-alive time.
     pub fn retain(&self, is_listed: impl Fn(&str) -> bool) {
         let now = Instant::now();
-        let mut kept = self.kept.borrow_mut();
-        for connections in kept.values_mut() {
-            connections.retain(|kept| kept.usable_until > now && is_listed(&kept.server));
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.usable_until > now && is_listed(&idle.server));
         }
-        kept.retain(|_, connections| !connections.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn take_kept(&self, server: &str, address: SocketAddr) -> Option<TcpStream> {
-        let mut kept = self.kept.borrow_mut();
-        let connections = kept.get_mut(&address)?;
+    fn take_idle(&self, server: &str, address: SocketAddr) -> Option<TcpStream> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
         while let Some(candidate) = connections.pop() {
             let is_current = candidate.server == server && candidate.usable_until > Instant::now();
-            if is_current && is_quiet(&candidate.stream) {
+            if is_current && is_open_and_drained(&candidate.stream) {
                 return Some(candidate.stream);
             }
         }
         None
     }
 
-    fn put_back(&self, server: &str, address: SocketAddr, stream: TcpStream, rest: Duration) {
-        let mut kept = self.kept.borrow_mut();
-        let connections = kept.entry(address).or_default();
-        if connections.len() < KEPT_PER_SERVER {
-            connections.push(Kept {
+    fn return_idle(
+        &self,
+        server: &str,
+        address: SocketAddr,
+        stream: TcpStream,
+        keep_alive: Duration,
+    ) {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(IdleConnection {
                 server: server.to_owned(),
                 stream,
-                usable_until: Instant::now() + rest,
+                usable_until: Instant::now() + keep_alive,
             });
         }
     }
@@ -174,17 +180,17 @@
 }
 
 /// Whether the connection is open with nothing to read.
-fn is_quiet(stream: &TcpStream) -> bool {
+fn is_open_and_drained(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-async fn open(address: SocketAddr, is_patient: bool) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address))
+async fn connect_to(address: SocketAddr, tolerates_slow_reads: bool) -> io::Result<TcpStream> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
     sockets::prepare(&stream)?;
-    if is_patient {
+    if tolerates_slow_reads {
         sockets::bear_slow_reader(&stream)?;
     }
     Ok(stream)
@@ -202,10 +208,10 @@
     ends_with_connection: bool,
     is_reusable: bool,
     /// Whether the connection tolerates a server that reads slowly.
-    is_patient: bool,
+    tolerates_slow_reads: bool,
     /// Connection setup time; `None` for a reused connection.
-    connected_in: Option<Duration>,
-    rest: Duration,
+    connect_time: Option<Duration>,
+    keep_alive: Duration,
 }
 
 impl Upstream {
@@ -221,8 +227,8 @@
         is_ours: impl Fn(&ResponseHead) -> bool,
     ) -> Result<ResponseHead, UpstreamError> {
         let exchange = async {
-            let was_sent_whole = self.send_until_answered(request).await?;
-            self.is_reusable = was_sent_whole;
+            let was_fully_sent = self.send_until_answered(request).await?;
+            self.is_reusable = was_fully_sent;
             loop {
                 let head = self.read_head().await?;
                 if head.status.is_informational() {
@@ -273,10 +279,10 @@
         loop {
             let decoded = codec.decode(&mut self.buffer);
             if let Some(head) = decoded.map_err(|error: ParseError| broken(error))? {
-                self.note_head(&head, codec);
+                self.apply_head(&head, codec);
                 return Ok(head);
             }
-            if self.buffer.len() > MAX_ANSWER_HEAD {
+            if self.buffer.len() > MAX_RESPONSE_HEAD {
                 return Err(broken("response head too large"));
             }
             if self.fill().await? == 0 {
@@ -285,13 +291,13 @@
         }
     }
 
-    fn note_head(&mut self, head: &ResponseHead, codec: ClientCodec) {
+    fn apply_head(&mut self, head: &ResponseHead, codec: ClientCodec) {
         let closes = header_has(head.headers().get(header::CONNECTION), "close");
         let message = codec.message_type();
         self.ends_with_connection = message == MessageType::Stream;
         self.is_reusable &= !closes && !self.ends_with_connection;
-        if let Some(rest) = rest_of(head) {
-            self.rest = rest;
+        if let Some(keep_alive) = keep_alive_of(head) {
+            self.keep_alive = keep_alive;
         }
         self.payload = match message {
             MessageType::None => None,
@@ -329,8 +335,8 @@
 
     /// Connection setup time; `None` for a reused connection.
     #[must_use]
-    pub fn connected_in(&self) -> Option<Duration> {
-        self.connected_in
+    pub fn connect_time(&self) -> Option<Duration> {
+        self.connect_time
     }
 
     /// Capacity of the read buffer, in bytes.
@@ -340,16 +346,16 @@
     }
 
     /// Returns the connection to the pool if the response was complete and nothing is left to read.
-    pub fn finish(self) {
+    pub fn release(self) {
         if self.is_reusable && self.payload.is_none() && self.buffer.is_empty() {
-            if self.is_patient
+            if self.tolerates_slow_reads
                 && let Err(error) = sockets::prepare(&self.stream)
             {
                 log::info!(event = "not_kept", server = self.server.as_str(); "connection not returned to the pool: {error}");
                 return;
             }
             self.pool
-                .put_back(&self.server, self.address, self.stream, self.rest);
+                .return_idle(&self.server, self.address, self.stream, self.keep_alive);
         }
     }
 
@@ -360,13 +366,13 @@
 }
 
 /// The server's keep-alive timeout, less a margin.
-fn rest_of(head: &ResponseHead) -> Option<Duration> {
+fn keep_alive_of(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers().get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| {
         let number = part.trim().strip_prefix("timeout=").unwrap_or(part.trim());
         number.parse::<u64>().ok()
     })?;
-    Some(Duration::from_secs(seconds).saturating_sub(REST_MARGIN))
+    Some(Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn header_has(value: Option<&HeaderValue>, token: &str) -> bool {
--- a/crates/courseshed-edge/tests/access.rs
+++ b/crates/courseshed-edge/tests/access.rs
@@ -141,7 +141,7 @@
     let caller = terms
         .identify(key("k1"), &route(false), &before, aged(0))
         .expect("let in");
-    assert_eq!(terms.check_again(&caller, 1, &now, proof_age), expected);
+    assert_eq!(terms.recheck(&caller, 1, &now, proof_age), expected);
 }
 
 #[parameterized(
