--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -1,7 +1,7 @@
 //! Authenticates calls and checks that their API keys are still valid.
 //!
 //! Invariant: a call is sent to a server only while its key belongs to the tenant that the server
-//! is told, according to a routing table proven current less than [`AccessTerms::proof_lasts`] ago.
+//! is told, according to a routing table proven current less than [`AccessTerms::proof_ttl`] ago.
 //! The age of the proof is measured from when this gateway sent the request that a controller
 //! answered on behalf of the leader, so no clocks of different machines are compared. In the worst
 //! case the proof was issued just before a revocation was acknowledged, and the call is sent
@@ -20,13 +20,13 @@
 /// scheduling delays of the process.
 const SEND_MARGIN: Duration = Duration::from_millis(400);
 /// Divisor of the revocation time that bounds the margin.
-const SEND_MARGIN_PART: u32 = 8;
+const SEND_MARGIN_DIVISOR: u32 = 8;
 /// Maximum age of the proof for which an unknown key is rejected; with an older one, the key may
 /// have been added since. Exceeds the age of the proof of a connected gateway.
-const UNKNOWN_KEY_PROOF: Duration = Duration::from_millis(2500);
+const UNKNOWN_KEY_MAX_PROOF_AGE: Duration = Duration::from_millis(2500);
 
 /// Another gateway may have fresh proof.
-const NOT_PROVEN_HERE: Refusal = Refusal::NoProof {
+const NO_LOCAL_PROOF: Refusal = Refusal::NoProof {
     is_everywhere: false,
 };
 
@@ -45,7 +45,7 @@
 pub struct AccessTerms {
     /// Age at which the proof of a routing table expires; `None` if the last known table never
     /// expires.
-    proof_lasts: Option<Duration>,
+    proof_ttl: Option<Duration>,
 }
 
 impl AccessTerms {
@@ -53,17 +53,17 @@
     /// acknowledgement of its removal.
     #[must_use]
     pub fn strict(revocation: Duration) -> Self {
-        let margin = SEND_MARGIN.min(revocation / SEND_MARGIN_PART);
+        let margin = SEND_MARGIN.min(revocation / SEND_MARGIN_DIVISOR);
         Self {
-            proof_lasts: Some(revocation.saturating_sub(margin)),
+            proof_ttl: Some(revocation.saturating_sub(margin)),
         }
     }
 
     /// Whether a routing table with a proof of this age may be used to accept keys.
     #[must_use]
     pub fn is_proven(&self, proof_age: Option<Duration>) -> bool {
-        match self.proof_lasts {
-            Some(lasts) => proof_age.is_some_and(|age| age < lasts),
+        match self.proof_ttl {
+            Some(ttl) => proof_age.is_some_and(|age| age < ttl),
             None => true,
         }
     }
@@ -93,15 +93,15 @@
             return Err(Refusal::UnknownKey);
         };
         let Some(tenant) = table.tenant_of(&key) else {
-            let is_sure = proof_age.is_some_and(|age| age < UNKNOWN_KEY_PROOF);
+            let is_sure = proof_age.is_some_and(|age| age < UNKNOWN_KEY_MAX_PROOF_AGE);
             return Err(if is_sure {
                 Refusal::UnknownKey
             } else {
-                NOT_PROVEN_HERE
+                NO_LOCAL_PROOF
             });
         };
         if !self.is_proven(proof_age) {
-            return Err(NOT_PROVEN_HERE);
+            return Err(NO_LOCAL_PROOF);
         }
         Ok(Caller {
             identity: Some(Identity {
@@ -128,7 +128,7 @@
             return Ok(());
         };
         if !self.is_proven(proof_age) {
-            return Err(NOT_PROVEN_HERE);
+            return Err(NO_LOCAL_PROOF);
         }
         if now.version == version || now.table.tenants.is_none() {
             return Ok(());
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -284,7 +284,7 @@
                     self.exclude(&chosen.id);
                     upstream.release();
                     if let Some(permit) = self.permit.take() {
-                        permit.not_run();
+                        permit.release();
                     }
                 }
                 Err(error) => {
--- a/crates/courseshed-edge/src/gateway/events.rs
+++ b/crates/courseshed-edge/src/gateway/events.rs
@@ -34,13 +34,13 @@
 
     /// Capacity of the internal buffer, in bytes.
     #[must_use]
-    pub fn held(&self) -> usize {
+    pub fn capacity(&self) -> usize {
         self.buffer.capacity()
     }
 
     /// Bytes of the incomplete event at the end of the buffer.
     #[must_use]
-    pub fn partial(&self) -> usize {
+    pub fn partial_len(&self) -> usize {
         self.buffer.len()
     }
 
--- a/crates/courseshed-edge/src/gateway/load.rs
+++ b/crates/courseshed-edge/src/gateway/load.rs
@@ -15,15 +15,15 @@
 use crate::protocol::{PeerReply, PeerRequest};
 
 /// Minimum interval between exchanges.
-const INTERVAL: Duration = Duration::from_millis(80);
+const MIN_EXCHANGE_INTERVAL: Duration = Duration::from_millis(80);
 /// Timeout of an exchange.
-const ANSWER_LIMIT: Duration = Duration::from_millis(250);
+const EXCHANGE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// Exchanges load reports until the process exits. A gateway that has become idle reports that
 /// once.
 pub(super) async fn share_load(core: Rc<GatewayCore>, peers: Arc<Peers>) {
     let mut was_idle = true;
-    let mut pause = INTERVAL;
+    let mut pause = MIN_EXCHANGE_INTERVAL;
     loop {
         let own = core
             .servers
@@ -41,7 +41,7 @@
         };
         core.reevaluate_avoidance();
         was_idle = is_idle;
-        pause = pause_after_reports(2, sent + received, INTERVAL);
+        pause = pause_after_reports(2, sent + received, MIN_EXCHANGE_INTERVAL);
         sleep(pause).await;
     }
 }
@@ -52,7 +52,7 @@
         return 0;
     };
     let request = PeerRequest::ShareLoad(own);
-    let reply = peers.request(controller, request, ANSWER_LIMIT).await;
+    let reply = peers.request(controller, request, EXCHANGE_TIMEOUT).await;
     let now = core.clock.now();
     let mut servers = core.servers.borrow_mut();
     let Ok(PeerReply::OthersLoad(others)) = reply else {
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -25,22 +25,22 @@
 /// leases are renewed many times before they expire.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
 /// Timeout of a report; many times the round trip between zones.
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Minimum interval between reports.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(5);
 /// Longest wait for a permit: enough for the two exchanges that reclaim idle permits from other
 /// gateways.
-const WAIT_LIMIT: Duration = Duration::from_millis(600);
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(600);
 /// Divisor of a call's remaining time that bounds its wait for a permit.
-const WAIT_PART: u32 = 4;
+const PERMIT_WAIT_DIVISOR: u32 = 4;
 /// Responses from the owner after which a call is refused if all permits of its tenant are in use.
-const ANSWERS_BORNE: u32 = 2;
+const ANSWERS_BEFORE_REFUSAL: u32 = 2;
 
 /// The permits of a gateway and its side of the exchange with the owner.
 pub(super) struct Quotas {
     holder: RefCell<QuotaHolder>,
     clock: Clock,
-    wanted: Notify,
+    requested: Notify,
     answers: watch::Sender<u64>,
 }
 
@@ -51,7 +51,7 @@
         Self {
             holder: RefCell::new(holder),
             clock,
-            wanted: Notify::new(),
+            requested: Notify::new(),
             answers: watch::channel(0).0,
         }
     }
@@ -68,7 +68,7 @@
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let began = Instant::now();
-        let acquired = Self::find(core, tenant, standing, deadline).await;
+        let acquired = Self::wait_for_permit(core, tenant, standing, deadline).await;
         core.metrics
             .permit_wait
             .observe(began.elapsed().as_secs_f64());
@@ -83,7 +83,7 @@
         acquired
     }
 
-    async fn find(
+    async fn wait_for_permit(
         core: &Rc<GatewayCore>,
         tenant: &str,
         standing: Standing,
@@ -91,8 +91,9 @@
     ) -> Result<Permit, Refusal> {
         let quotas = &core.quotas;
         let now = Instant::now();
-        let patience = (deadline.saturating_duration_since(now) / WAIT_PART).min(WAIT_LIMIT);
-        let give_up = now + patience;
+        let max_wait =
+            (deadline.saturating_duration_since(now) / PERMIT_WAIT_DIVISOR).min(MAX_PERMIT_WAIT);
+        let wait_until = now + max_wait;
         let mut answers = quotas.answers.subscribe();
         let mut answered = 0;
         let mut waiting = None;
@@ -102,19 +103,19 @@
                 Err(Shortage::KeptForOthers) => return Err(quotas.over_quota(tenant)),
                 Err(Shortage::Here) => {}
             }
-            if answered >= ANSWERS_BORNE && quotas.is_taken_everywhere(tenant) {
+            if answered >= ANSWERS_BEFORE_REFUSAL && quotas.is_taken_everywhere(tenant) {
                 return Err(quotas.over_quota(tenant));
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= wait_until {
                 return Err(if answered > 0 {
                     quotas.over_quota(tenant)
                 } else {
                     Refusal::NoQuota
                 });
             }
-            waiting.get_or_insert_with(|| WaitingCall::begin(core, tenant));
-            quotas.wanted.notify_one();
-            let is_answered = timeout_at(give_up, answers.changed()).await.is_ok();
+            waiting.get_or_insert_with(|| WaitGuard::begin(core, tenant));
+            quotas.requested.notify_one();
+            let is_answered = timeout_at(wait_until, answers.changed()).await.is_ok();
             answered += u32::from(is_answered);
         }
     }
@@ -137,12 +138,12 @@
 }
 
 /// Counts a call as waiting for a permit until dropped.
-struct WaitingCall {
+struct WaitGuard {
     core: Rc<GatewayCore>,
     tenant: String,
 }
 
-impl WaitingCall {
+impl WaitGuard {
     fn begin(core: &Rc<GatewayCore>, tenant: &str) -> Self {
         core.quotas.holder.borrow_mut().begin_waiting(tenant);
         Self {
@@ -152,7 +153,7 @@
     }
 }
 
-impl Drop for WaitingCall {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut holder = self.core.quotas.holder.borrow_mut();
         holder.end_waiting(&self.tenant);
@@ -187,7 +188,7 @@
     }
 
     /// Frees the permit after the server refused the call without executing it.
-    pub(super) fn not_run(self) {
+    pub(super) fn release(self) {
         if let Some(sent_at) = self.sent_at {
             let mut holder = self.core.quotas.holder.borrow_mut();
             holder.not_run(&self.tenant, sent_at);
@@ -213,11 +214,11 @@
     let mut leader = None;
     loop {
         let quotas = &core.quotas;
-        let wanted = quotas.wanted.notified();
+        let requested = quotas.requested.notified();
         if quotas.holder.borrow().is_idle() {
-            wanted.await;
+            requested.await;
         } else {
-            let _ = timeout(EXCHANGE_INTERVAL, wanted).await;
+            let _ = timeout(EXCHANGE_INTERVAL, requested).await;
         }
         let now = quotas.clock.now();
         let Some(report) = quotas.holder.borrow_mut().report(now) else {
@@ -229,7 +230,10 @@
             Some(controller) => {
                 peers.set_address(controller, addresses.of(controller, PeerPort::Controller));
                 let request = PeerRequest::Quota(report);
-                peers.request(controller, request, ANSWER_LIMIT).await.ok()
+                peers
+                    .request(controller, request, REPORT_TIMEOUT)
+                    .await
+                    .ok()
             }
             None => None,
         };
@@ -241,16 +245,16 @@
                 if is_granted {
                     quotas.answers.send_modify(|answers| *answers += 1);
                 } else {
-                    quotas.wanted.notify_one();
+                    quotas.requested.notify_one();
                 }
             }
             other => {
                 quotas.holder.borrow_mut().give_up(sequence);
                 leader = next_controller(&core, asked, other);
-                quotas.wanted.notify_one();
+                quotas.requested.notify_one();
             }
         }
-        tokio::time::sleep(SHORTEST_PAUSE).await;
+        tokio::time::sleep(MIN_REPORT_INTERVAL).await;
     }
 }
 
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -34,12 +34,12 @@
 
 /// How long a draining gateway accepts new connections, so that load balancers can observe that it
 /// is not ready.
-const LEAVING_TIME: Duration = Duration::from_millis(3200);
-const STOP_CHECK: Duration = Duration::from_millis(50);
+const DRAIN_PERIOD: Duration = Duration::from_millis(3200);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Maximum time that a request waits for the first routing table.
-const START_WAIT: Duration = Duration::from_millis(300);
+const MAX_ROUTING_WAIT: Duration = Duration::from_millis(300);
 /// Interval of the cleanup of idle connections and server statistics.
-const TIDY_INTERVAL: Duration = Duration::from_secs(2);
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Settings of a gateway.
 pub struct GatewaySettings {
@@ -88,9 +88,9 @@
     },
 }
 
-struct NoRequests;
+struct IgnoringHandler;
 
-impl Handler<FleetProtocol> for NoRequests {
+impl Handler<FleetProtocol> for IgnoringHandler {
     fn on_message(&self, _: PeerIdentity, _: PeerMessage) {}
     fn on_request(&self, _: PeerIdentity, _: PeerRequest, _: ReplySender<FleetProtocol>) {}
 }
@@ -108,7 +108,7 @@
         settings.node,
         settings.addresses,
         PeerPort::Gateway,
-        Arc::new(NoRequests),
+        Arc::new(IgnoringHandler),
     );
     let peers = Arc::new(started.context(PeersSnafu)?);
     let follower = FleetFollower::new(
@@ -189,7 +189,7 @@
 
 async fn clean_up(core: Rc<GatewayCore>) {
     loop {
-        sleep(TIDY_INTERVAL).await;
+        sleep(CLEANUP_INTERVAL).await;
         core.servers.borrow_mut().remove_expired(core.clock.now());
         core.refresh_avoided();
         core.pool.retain(|id| core.servers.borrow().contains(id));
@@ -224,7 +224,7 @@
     let limits = core.clone();
     let timing = move || timing_of(&limits_in_force(&limits));
     serve(listener, timing, move |request| {
-        answer(core.clone(), request)
+        handle_request(core.clone(), request)
     })
     .await;
 }
@@ -241,10 +241,10 @@
     routing.map_or_else(CallLimits::default, |routing| routing.table.limits)
 }
 
-async fn answer(core: Rc<GatewayCore>, request: Request) -> Response<BoxBody> {
+async fn handle_request(core: Rc<GatewayCore>, request: Request) -> Response<BoxBody> {
     core.in_flight_requests
         .set(core.in_flight_requests.get() + 1);
-    let counted = UnderWay(core.clone());
+    let counted = RequestGuard(core.clone());
     let mut response = match admit(&core, request).await {
         Ok((attempts, tokens_per_event)) => forward_by_kind(attempts, tokens_per_event).await,
         Err(refusal) => refusal.response(),
@@ -254,7 +254,7 @@
             .head_mut()
             .set_connection_type(ConnectionType::Close);
     }
-    response.map_body(|_, body| BoxBody::new(counted.hold(body)))
+    response.map_body(|_, body| BoxBody::new(counted.guard(body)))
 }
 
 /// Decodes and authenticates a request and selects its route and service.
@@ -267,7 +267,7 @@
     let (call, memory) = read_call(core, request, &limits).await?;
     let wait = call
         .time_left
-        .map_or(START_WAIT, |left| START_WAIT.min(left / 4));
+        .map_or(MAX_ROUTING_WAIT, |left| MAX_ROUTING_WAIT.min(left / 4));
     let routing = routing_in_force(core, wait)
         .await
         .ok_or(Refusal::NotStarted)?;
@@ -390,18 +390,15 @@
 }
 
 /// Counts a request as in flight until its response body is dropped.
-struct UnderWay(Rc<GatewayCore>);
+struct RequestGuard(Rc<GatewayCore>);
 
-impl UnderWay {
-    fn hold(self, body: BoxBody) -> HeldBody {
-        HeldBody {
-            body,
-            _counted: self,
-        }
+impl RequestGuard {
+    fn guard(self, body: BoxBody) -> GuardedBody {
+        GuardedBody { body, _guard: self }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
         self.0
             .in_flight_requests
@@ -410,12 +407,12 @@
 }
 
 /// A response body that keeps its request counted as in flight.
-struct HeldBody {
+struct GuardedBody {
     body: BoxBody,
-    _counted: UnderWay,
+    _guard: RequestGuard,
 }
 
-impl actix_http::body::MessageBody for HeldBody {
+impl actix_http::body::MessageBody for GuardedBody {
     type Error = Box<dyn std::error::Error>;
 
     fn size(&self) -> actix_http::body::BodySize {
@@ -437,11 +434,11 @@
     log::info!(event = "draining", under_way = core.in_flight_requests.get(); "shutting down: draining requests");
     loop {
         let passed = began.elapsed();
-        let is_done = passed >= LEAVING_TIME && core.in_flight_requests.get() == 0;
+        let is_done = passed >= DRAIN_PERIOD && core.in_flight_requests.get() == 0;
         if is_done || passed >= grace {
             break;
         }
-        sleep(STOP_CHECK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
     log::info!(event = "drained", under_way = core.in_flight_requests.get(); "drain finished");
 }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -190,7 +190,7 @@
     fn push(&mut self, chunk: &[u8]) -> Result<(), Truncated> {
         self.splitter.push(chunk);
         self.update_memory();
-        if self.splitter.partial() > MAX_EVENT_BYTES {
+        if self.splitter.partial_len() > MAX_EVENT_BYTES {
             let error = UpstreamError::Broken {
                 reason: "event exceeds the size limit".to_owned(),
             };
@@ -206,8 +206,8 @@
     fn update_memory(&self) {
         let upstream = self.opened.as_ref();
         let read = upstream.map_or(0, |opened| opened.upstream.buffered());
-        let held = read + self.splitter.held() + self.output.len();
-        self.attempts.memory.set(BufferKind::Response, held);
+        let buffered = read + self.splitter.capacity() + self.output.len();
+        self.attempts.memory.set(BufferKind::Response, buffered);
     }
 
     /// The complete events that the client has not received, in their original bytes.
@@ -338,13 +338,13 @@
         if let Some(mut opened) = self.opened.take() {
             let generated = u64::from(self.server_events) * self.tokens_per_event;
             let generated = u32::try_from(generated).unwrap_or(u32::MAX);
-            let held = self.attempts.record_finished(&mut opened, generated);
+            let prompt = self.attempts.record_finished(&mut opened, generated);
             // A stored turn carries the same hint.
             let is_kept = self.attempts.route.keeps_turns;
             if let Some(reservation) = self.reservation.as_mut().filter(|_| !is_kept) {
-                reservation.set_cached(held.clone());
+                reservation.set_cached(prompt.clone());
             }
-            cached = Some(held);
+            cached = Some(prompt);
             opened.upstream.release();
         }
         if self.attempts.route.keeps_turns {
@@ -357,13 +357,13 @@
             );
             let keep_ms = keep_ms(&self.attempts.route);
             let deadline = Instant::now() + STORE_TIMEOUT;
-            let kept = self
+            let stored = self
                 .attempts
                 .core
                 .records
                 .keep(self.partition, turn, keep_ms, deadline)
                 .await;
-            if kept.is_err() {
+            if stored.is_err() {
                 self.attempts.log.outcome = "turn_not_kept";
                 return Err(Truncated);
             }
