--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -1,9 +1,9 @@
-//! Sending one request to servers until one answers.
+//! Sends a request to servers until one responds.
 //!
-//! Invariants: a request that may run once is sent again only after a server said that it did not
-//! run; a request is sent to no more servers than its route allows, where a server that refused it
-//! or has ended since doesn't count; once a server that had it broke off, it is never said that it
-//! did not run.
+//! Invariants: a non-idempotent request is sent again only after a server stated that it did not
+//! execute it; a request is sent to at most as many servers as its route allows, not counting those
+//! that refused it or are unreachable; once a server failed while it had the request, the gateway
+//! never reports it as not executed.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -19,54 +19,55 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::access::Caller;
-use super::assigned::Assigned;
+use super::assignment::Assignment;
 use super::call::{CallEnvelope, SendTerms};
 use super::call_log::CallLog;
 use super::choice::ChoiceInputs;
-use super::chosen::Chosen;
-use super::core::{GatewayCore, InFlight};
-use super::held::Holding;
-use super::held_memory::HeldKind;
+use super::core::{GatewayCore, InFlightGuard};
+use super::memory_budget::BufferKind;
+use super::memory_tracker::RequestMemory;
 use super::policy::Mechanism;
 use super::quota::{Permit, Quotas};
 use super::refusal::Refusal;
 use super::schedule::ScheduledCall;
-use super::servers::Report;
+use super::selected_server::SelectedServer;
+use super::servers::CallReport;
 use super::upstream::{Upstream, UpstreamError};
 
-/// What a thing known by its key alone counts for, in tokens of a prompt.
-const TOKENS_OF_KEY: u32 = 2_000;
-/// Less time than this is not worth another try.
-pub(super) const LEAST_TIME: Duration = Duration::from_millis(15);
+/// Prompt tokens attributed to a request that has only an affinity key.
+const AFFINITY_KEY_TOKENS: u32 = 2_000;
+/// Minimum remaining time for another attempt.
+pub(super) const MIN_ATTEMPT_TIME: Duration = Duration::from_millis(15);
 
-/// An answer that has begun.
-pub(super) struct Opened {
+/// A response whose head has been received.
+pub(super) struct OpenedResponse {
     pub head: ResponseHead,
     pub upstream: Upstream,
     pub server: String,
     pub sent_at: Instant,
-    /// Tokens of the prompt that the server had to read, as far as was known.
-    pub unread_tokens: u32,
-    /// From the send to the first part of the answer, once that came.
-    pub first_part: Option<Duration>,
-    /// Tokens that the first part brought.
+    /// Estimated number of prompt tokens that the server had to prefill.
+    pub uncached_tokens: u32,
+    /// Time from sending the request to the first chunk of the response, once received.
+    pub first_chunk_after: Option<Duration>,
+    /// Tokens in the first chunk.
     pub first_tokens: u32,
-    /// The call's number at the scheduler of its pool.
+    /// The call's registration at the pool scheduler.
     pub call: Option<ScheduledCall>,
-    /// Counts the request at the server until it is dropped.
-    pub _in_flight: InFlight,
+    /// Counts the request as in flight at the server.
+    pub _in_flight: InFlightGuard,
 }
 
-impl Opened {
-    /// Tells the scheduler of the pool what became of the call.
+impl OpenedResponse {
+    /// Reports the end of the call to the pool scheduler.
     pub(super) fn end_call(&mut self, end: CallEnd) {
         if let Some(call) = self.call.take() {
             call.end(end);
         }
     }
 
-    /// What an answer says of the engine that isn't a stream of its own: a failure of the server's or nothing.
-    pub(super) fn end_without_stream(&self) -> CallEnd {
+    /// How a response that is not a complete stream ends the call: as a server failure or without
+    /// information.
+    pub(super) fn end_of_unstreamed(&self) -> CallEnd {
         if self.head.status.is_server_error() {
             CallEnd::Failed
         } else {
@@ -74,47 +75,48 @@
         }
     }
 
-    /// What a whole answer says of the engine.
+    /// How a complete response ends the call.
     fn end_of_answer(&self, generated: u32, took: Duration) -> CallEnd {
         if !self.head.status.is_success() {
-            return self.end_without_stream();
+            return self.end_of_unstreamed();
         }
         CallEnd::Whole {
             generated,
             first_tokens: self.first_tokens,
-            first_part_ms: milliseconds(self.first_part.unwrap_or(took)),
+            first_part_ms: milliseconds(self.first_chunk_after.unwrap_or(took)),
             took_ms: milliseconds(took),
         }
     }
 }
 
-/// A time in whole milliseconds, for messages; the longest is 49 days.
+/// Whole milliseconds, saturating after 49 days.
 pub(super) fn milliseconds(time: Duration) -> u32 {
     u32::try_from(time.as_millis()).unwrap_or(u32::MAX)
 }
 
-/// When a request came, and when its time is over.
+/// Arrival time and deadline of a request.
 #[derive(Clone, Copy)]
 pub(super) struct CallTimes {
     pub arrived: Instant,
     pub deadline: Instant,
 }
 
-/// The service that a request goes to.
+/// The service that a request is sent to.
 pub(super) struct ChosenService {
     pub name: String,
-    /// Connections that each of its servers accepts from all gateways together.
+    /// Maximum number of connections to each server from all gateways together.
     pub connection_limit: u32,
-    /// Version of the routing table that says so.
+    /// Version of the routing table used.
     pub version: u64,
-    /// Who the request is made for, by the same table.
+    /// The caller, authenticated by the same table.
     pub caller: Caller,
-    /// Whether its servers are engines, whose calls one scheduler orders.
+    /// Whether the servers are engines whose calls a pool scheduler assigns.
     pub is_pool: bool,
 }
 
-/// What a server that saw the same thing lately need not read again; nothing if that's all the same.
-fn parts_of(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
+/// The prompt segments whose caching matters for server selection; empty if the route has no
+/// affinity.
+fn affinity_segments(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
     if !route.affinity {
         return Vec::new();
     }
@@ -124,12 +126,12 @@
     let key = call.affinity_key.as_ref();
     let part = key.map(|key| PromptPart {
         id: xxh3_64(key.as_bytes()),
-        tokens: TOKENS_OF_KEY,
+        tokens: AFFINITY_KEY_TOKENS,
     });
     part.into_iter().collect()
 }
 
-/// One request on its way.
+/// A request and its attempts at servers.
 pub(super) struct Attempts {
     pub core: Rc<GatewayCore>,
     pub call: CallEnvelope,
@@ -139,30 +141,29 @@
     pub deadline: Instant,
     /// Whether the service is a pool of engines.
     pub is_pool: bool,
-    /// What servers hold of the prompts of its program, as far as the records know.
-    pub held: Vec<CachedPrompt>,
-    /// What the server gets as the body.
+    /// Prompt segments cached by servers for the program, according to the record stores.
+    pub cached_prompts: Vec<CachedPrompt>,
+    /// The body sent to the server.
     pub body: Bytes,
-    /// The prompt, if it matters what a server saw before.
+    /// The prompt segments whose caching matters for server selection.
     pub parts: Vec<PromptPart>,
     pub log: CallLog,
-    /// Who the request is made for.
     pub caller: Caller,
-    /// Where it may be served, and what it says kept.
+    /// The regions in which the request may be served and its turn stored.
     pub homes: HomeRegions,
-    /// Whether the request begins a program.
+    /// Whether the request is the first of a program.
     pub standing: Standing,
-    /// What is held for it.
-    pub holding: Holding,
+    /// Memory held for the request.
+    pub memory: RequestMemory,
     permit: Option<Permit>,
     version: u64,
     pub connection_limit: u32,
-    pub sent_to: Vec<String>,
-    pub passed_over: Vec<String>,
-    pub repeats: usize,
-    /// A server that was granted, and not sent to since the permit had lapsed.
-    pub kept: Option<Assigned>,
-    /// Whether a server that had the request broke off, whatever became of that server since.
+    pub attempted_servers: Vec<String>,
+    pub excluded_servers: Vec<String>,
+    pub same_server_retries: usize,
+    /// A selected server to which nothing was sent because the permit expired.
+    pub reserved: Option<Assignment>,
+    /// Whether a server failed after it received the request, even if that server is gone by now.
     may_have_run: bool,
 }
 
@@ -173,7 +174,7 @@
         route: Arc<Route>,
         service: ChosenService,
         times: CallTimes,
-        holding: Holding,
+        memory: RequestMemory,
     ) -> Self {
         let CallTimes { arrived, deadline } = times;
         let ChosenService {
@@ -187,11 +188,11 @@
         log.tenant = caller.tenant_name().unwrap_or_default().to_owned();
         Self {
             body: call.body.clone(),
-            parts: parts_of(&call, &route),
+            parts: affinity_segments(&call, &route),
             homes: HomeRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
             standing: Standing::UnderWay,
-            holding,
+            memory,
             permit: None,
             version,
             connection_limit,
@@ -202,38 +203,42 @@
             arrived,
             deadline,
             is_pool,
-            held: Vec::new(),
+            cached_prompts: Vec::new(),
             log,
-            sent_to: Vec::new(),
-            passed_over: Vec::new(),
-            repeats: 0,
-            kept: None,
+            attempted_servers: Vec::new(),
+            excluded_servers: Vec::new(),
+            same_server_retries: 0,
+            reserved: None,
             may_have_run: false,
         }
     }
 
-    /// Sends the request until a server answers it.
-    pub(super) async fn open(&mut self, resume_after: Option<u64>) -> Result<Opened, Refusal> {
+    /// Sends the request until a server responds.
+    pub(super) async fn open(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<OpenedResponse, Refusal> {
         loop {
-            if self.time_left() < LEAST_TIME {
-                return Err(self.out_of_time());
+            if self.time_left() < MIN_ATTEMPT_TIME {
+                return Err(self.deadline_refusal());
             }
             if let Err(refusal) = self.take_permit().await {
-                return Err(self.not_sent_again(refusal));
+                return Err(self.final_refusal(refusal));
             }
             let Some(assigned) = self.assign().await? else {
-                return Err(self.out_of_servers());
+                return Err(self.no_server_refusal());
             };
-            let Assigned {
+            let Assignment {
                 chosen,
                 call,
                 in_flight,
             } = assigned;
             let inputs = self.choice_inputs(&chosen.id);
-            let unread_tokens = inputs.unread_tokens;
+            let uncached_tokens = inputs.uncached_tokens;
             self.log.choice = inputs;
-            // One that was kept is counted already, and a probe noted.
-            let in_flight = in_flight.unwrap_or_else(|| InFlight::begin(&self.core, &chosen.id));
+            // A reserved server is already counted as in flight.
+            let in_flight =
+                in_flight.unwrap_or_else(|| InFlightGuard::begin(&self.core, &chosen.id));
             let upstream = match self.connect(&chosen).await {
                 Ok(upstream) => upstream,
                 Err(error) => {
@@ -242,15 +247,15 @@
                     continue;
                 }
             };
-            // Nothing is awaited between this check and the send.
+            // No await point between this check and the send.
             if let Err(refusal) = self.check_access() {
-                upstream.finish();
-                return Err(self.not_sent_again(refusal));
+                upstream.release();
+                return Err(self.final_refusal(refusal));
             }
             if self.permit.as_mut().is_some_and(|permit| !permit.send()) {
-                upstream.finish();
+                upstream.release();
                 self.permit = None;
-                self.kept = Some(Assigned {
+                self.reserved = Some(Assignment {
                     chosen,
                     call,
                     in_flight: Some(in_flight),
@@ -262,28 +267,29 @@
                     if !self.is_refused(&head, &chosen) {
                         self.permit = None;
                         self.log.server = chosen.id.clone();
-                        return Ok(Opened {
+                        return Ok(OpenedResponse {
                             head,
                             upstream,
                             server: chosen.id,
                             sent_at,
-                            unread_tokens,
-                            first_part: None,
+                            uncached_tokens,
+                            first_chunk_after: None,
                             first_tokens: 0,
                             call,
                             _in_flight: in_flight,
                         });
                     }
                     end_call(call, CallEnd::Refused);
-                    self.log.note_refusal(&chosen.id, head.status.as_u16());
-                    self.pass_over(&chosen.id);
-                    upstream.finish();
+                    self.log.record_refusal(&chosen.id, head.status.as_u16());
+                    self.exclude(&chosen.id);
+                    upstream.release();
                     if let Some(permit) = self.permit.take() {
-                        permit.not_run();
+                        permit.release();
                     }
                 }
                 Err(error) => {
-                    // It may have run: the permit stays occupied, and another send needs another.
+                    // The request may have been executed, so its permit stays in use and a retry
+                    // needs another.
                     self.permit = None;
                     end_call(call, end_of_error(&error));
                     self.on_error(&chosen, &error)?;
@@ -292,8 +298,8 @@
         }
     }
 
-    /// Where its turn may be kept: anywhere if it isn't kept at all.
-    pub(super) fn kept_within(&self) -> &HomeRegions {
+    /// The regions in which the turn may be stored; any if it isn't stored.
+    pub(super) fn storage_regions(&self) -> &HomeRegions {
         if self.route.keeps_turns {
             &self.homes
         } else {
@@ -307,13 +313,13 @@
         servers.choice_inputs(server, &self.parts, now)
     }
 
-    /// Whether the request may be sent again after a server had it.
-    pub(super) fn may_repeat(&self) -> bool {
-        self.route.is_idempotent() && self.time_left() >= LEAST_TIME
+    /// Whether the request may be sent again after a server received it.
+    pub(super) fn may_retry(&self) -> bool {
+        self.route.is_idempotent() && self.time_left() >= MIN_ATTEMPT_TIME
     }
 
-    /// Lets the body go if no server can need it any more: an answer has begun, and the request may
-    /// not be sent again. A turn's own input stays if it is to be kept.
+    /// Frees the body once no attempt can need it: a response has begun and the request must not be
+    /// sent again. The input of a turn that is to be stored is kept.
     pub(super) fn release_body(&mut self) {
         if self.route.is_idempotent() {
             return;
@@ -322,23 +328,27 @@
         if !self.route.keeps_turns {
             self.call.body = Bytes::new();
         }
-        self.holding.set(HeldKind::Request, self.call.body.len());
+        self.memory.set(BufferKind::Request, self.call.body.len());
     }
 
-    /// Notes that a server's answer is whole, with so many tokens generated. Returns what the server
-    /// holds of the prompt now.
-    pub(super) fn note_finished(&self, opened: &mut Opened, generated: u32) -> CachedPrompt {
+    /// Records a complete response with the given number of generated tokens. Returns the prompt
+    /// segments that the server now has cached.
+    pub(super) fn record_finished(
+        &self,
+        opened: &mut OpenedResponse,
+        generated: u32,
+    ) -> CachedPrompt {
         let took = opened.sent_at.elapsed();
-        let cached = self.note_read_prompt(opened, generated, took);
+        let cached = self.record_processed(opened, generated, took);
         opened.end_call(opened.end_of_answer(generated, took));
         cached
     }
 
-    /// Notes that a server has read the prompt and answered, as far as its own time goes. Returns what
-    /// it holds of the prompt now.
-    pub(super) fn note_read_prompt(
+    /// Records that a server has processed the call, without ending it at the pool scheduler.
+    /// Returns the prompt segments that the server now has cached.
+    pub(super) fn record_processed(
         &self,
-        opened: &Opened,
+        opened: &OpenedResponse,
         generated: u32,
         took: Duration,
     ) -> CachedPrompt {
@@ -346,40 +356,40 @@
         let key = ServerKey::of(&opened.server);
         let cached = CachedPrompt::after_answer(key, &self.parts, generated);
         let mut servers = self.core.servers.borrow_mut();
-        servers.note_finished(&opened.server, &cached, took, now);
+        servers.record_finished(&opened.server, &cached, took, now);
         cached
     }
 
-    /// Tells of the end of an answer that is whole: the other gateways whether the server answered or
-    /// erred, and the scheduler of the pool, if nobody has.
-    pub(super) fn note_answered(&self, opened: &mut Opened) {
-        let report = Report::of_answer(opened.head.status);
+    /// Reports the outcome of a complete response to the other gateways and, if not yet done, the
+    /// end of the call to the pool scheduler.
+    pub(super) fn record_outcome(&self, opened: &mut OpenedResponse) {
+        let report = CallReport::of_answer(opened.head.status);
         self.core.report(&opened.server, report);
-        opened.end_call(opened.end_without_stream());
+        opened.end_call(opened.end_of_unstreamed());
     }
 
-    /// Notes how long the whole answer of a plain call took, or how long it was waited for in vain.
-    pub(super) fn note_answer_time(&self, took: Duration) {
-        let mut times = self.core.answer_times.borrow_mut();
-        times.note(&self.route.name, took);
+    /// Records the duration of a non-streaming response, or of a wait that timed out.
+    pub(super) fn record_response_time(&self, took: Duration) {
+        let mut times = self.core.response_times.borrow_mut();
+        times.record(&self.route.name, took);
     }
 
-    /// Notes that the first part of a server's answer came.
-    pub(super) fn note_read(&mut self, opened: &mut Opened) {
-        self.log.note_first_part();
+    /// Records the arrival of the first chunk of a response.
+    pub(super) fn record_first_chunk(&mut self, opened: &mut OpenedResponse) {
+        self.log.record_first_chunk();
         let now = self.core.clock.now();
         let took = opened.sent_at.elapsed();
-        opened.first_part.get_or_insert(took);
-        let unread = opened.unread_tokens;
+        opened.first_chunk_after.get_or_insert(took);
+        let unread = opened.uncached_tokens;
         let mut servers = self.core.servers.borrow_mut();
-        servers.note_read(&opened.server, &self.parts, unread, took, now);
+        servers.record_first_chunk(&opened.server, &self.parts, unread, took, now);
     }
 
     pub(super) fn time_left(&self) -> Duration {
         self.deadline.saturating_duration_since(Instant::now())
     }
 
-    pub(super) fn out_of_time(&self) -> Refusal {
+    pub(super) fn deadline_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::TimedOut
         } else {
@@ -387,7 +397,7 @@
         }
     }
 
-    fn out_of_servers(&self) -> Refusal {
+    fn no_server_refusal(&self) -> Refusal {
         if self.may_have_run {
             Refusal::Broken
         } else {
@@ -395,19 +405,19 @@
         }
     }
 
-    /// Notes that a server which had the request broke off.
-    pub(super) fn note_broken(&mut self, server: &str, error: &UpstreamError) {
-        self.note_lost(server, error);
-        self.core.report(server, Report::Failed);
+    /// Records that a server failed after it received the request.
+    pub(super) fn record_failure(&mut self, server: &str, error: &UpstreamError) {
+        self.record_truncated(server, error);
+        self.core.report(server, CallReport::Failed);
     }
 
-    /// Notes that the rest of an answer doesn't come, for which the server isn't to blame.
-    pub(super) fn note_lost(&mut self, server: &str, error: &UpstreamError) {
+    /// Records that the response was truncated through no fault of the server.
+    pub(super) fn record_truncated(&mut self, server: &str, error: &UpstreamError) {
         self.may_have_run = true;
-        self.log.note_error(server, error);
+        self.log.record_error(server, error);
     }
 
-    /// Takes a permit for the next send, if the tenant's requests are limited.
+    /// Takes a permit for the next attempt, if the tenant has a quota.
     async fn take_permit(&mut self) -> Result<(), Refusal> {
         let Some(tenant) = self.caller.tenant() else {
             return Ok(());
@@ -420,18 +430,18 @@
         Ok(())
     }
 
-    async fn connect(&self, chosen: &Chosen) -> Result<Upstream, UpstreamError> {
+    async fn connect(&self, chosen: &SelectedServer) -> Result<Upstream, UpstreamError> {
         let pool = self.core.pool.clone();
         let connected = pool.connect(&chosen.id, chosen.address, self.body.len());
         let upstream = connected.await?;
-        if let Some(took) = upstream.connected_in() {
+        if let Some(took) = upstream.connect_time() {
             let mut servers = self.core.servers.borrow_mut();
-            servers.note_connected(&chosen.id, &self.core.zone, took);
+            servers.record_connection(&chosen.id, &self.core.zone, took);
         }
         Ok(upstream)
     }
 
-    /// Whether the caller may still be served.
+    /// Checks that the caller is still authorized.
     fn check_access(&self) -> Result<(), Refusal> {
         let view = self.core.follower.view();
         let routing = view.routing.as_ref().ok_or(Refusal::NotStarted)?;
@@ -441,11 +451,11 @@
         }
         self.core
             .access
-            .check_again(&self.caller, self.version, routing, proof_age)
+            .recheck(&self.caller, self.version, routing, proof_age)
     }
 
-    /// What the caller is told if the request may not be sent any more.
-    pub(super) fn not_sent_again(&self, refusal: Refusal) -> Refusal {
+    /// The refusal returned if no further attempt is made.
+    pub(super) fn final_refusal(&self, refusal: Refusal) -> Refusal {
         if self.may_have_run {
             Refusal::Broken
         } else {
@@ -456,46 +466,48 @@
     async fn send(
         &mut self,
         mut upstream: Upstream,
-        chosen: &Chosen,
+        chosen: &SelectedServer,
         resume_after: Option<u64>,
     ) -> Result<(ResponseHead, Upstream, Instant), UpstreamError> {
         let head = self.write_head(chosen, resume_after);
         let request = head.chain(self.body.clone());
         self.log.attempts += 1;
-        if !self.sent_to.contains(&chosen.id) {
-            self.sent_to.push(chosen.id.clone());
+        if !self.attempted_servers.contains(&chosen.id) {
+            self.attempted_servers.push(chosen.id.clone());
         }
         let sent_at = Instant::now();
         let core = &self.core;
         let request_id = &self.call.request_id;
         let is_ours = |head: &ResponseHead| {
-            let answered = core.codec.read_answer(head).request_id;
-            answered.is_none_or(|id| id == *request_id)
+            let received = core.codec.read_answer(head).request_id;
+            received.is_none_or(|id| id == *request_id)
         };
-        let silence = self.silence_borne();
-        let patience = silence.filter(|silence| sent_at + *silence < self.deadline);
-        let limit = patience.map_or(self.deadline, |patience| sent_at + patience);
-        let answered = upstream.exchange(request, limit, is_ours).await;
-        if let (Err(UpstreamError::TimedOut), Some(patience)) = (&answered, patience) {
-            self.note_answer_time(patience);
+        let usual_timeout = self.response_timeout();
+        let retry_timeout =
+            usual_timeout.filter(|usual_timeout| sent_at + *usual_timeout < self.deadline);
+        let limit = retry_timeout.map_or(self.deadline, |retry_timeout| sent_at + retry_timeout);
+        let received = upstream.exchange(request, limit, is_ours).await;
+        if let (Err(UpstreamError::TimedOut), Some(retry_timeout)) = (&received, retry_timeout) {
+            self.record_response_time(retry_timeout);
             return Err(UpstreamError::Silent);
         }
-        let head = answered?;
+        let head = received?;
         Ok((head, upstream, sent_at))
     }
 
-    /// How long the server may be silent before another one gets the request; none if none may.
-    fn silence_borne(&self) -> Option<Duration> {
-        let may_go_on = self.sent_to.len() < self.route.max_attempts as usize;
+    /// How long to wait for a response before another server is tried; `None` if the call can't be
+    /// retried.
+    fn response_timeout(&self) -> Option<Duration> {
+        let has_attempts_left = self.attempted_servers.len() < self.route.max_attempts as usize;
         let is_limited = self.core.policy.uses(Mechanism::SilenceLimit);
-        if self.route.kind != CallKind::Repeatable || !may_go_on || !is_limited {
+        if self.route.kind != CallKind::Repeatable || !has_attempts_left || !is_limited {
             return None;
         }
-        let times = self.core.answer_times.borrow();
-        times.silence_borne(&self.route.name)
+        let times = self.core.response_times.borrow();
+        times.response_timeout(&self.route.name)
     }
 
-    fn write_head(&self, chosen: &Chosen, resume_after: Option<u64>) -> BytesMut {
+    fn write_head(&self, chosen: &SelectedServer, resume_after: Option<u64>) -> BytesMut {
         let terms = SendTerms {
             time_left: Some(self.time_left()),
             server: chosen.name.clone(),
@@ -510,60 +522,60 @@
         request
     }
 
-    /// Whether the server says that the request did not run, so that another may have it.
-    fn is_refused(&self, head: &ResponseHead, chosen: &Chosen) -> bool {
+    /// Whether the server refused the call without executing it, so that another one may be tried.
+    fn is_refused(&self, head: &ResponseHead, chosen: &SelectedServer) -> bool {
         let is_not_run = self.core.codec.read_answer(head).is_not_run
             || head.status == StatusCode::MISDIRECTED_REQUEST;
         if !is_not_run || head.status == StatusCode::BAD_REQUEST {
             return false;
         }
         let report = if head.status == StatusCode::MISDIRECTED_REQUEST {
-            Report::Failed
+            CallReport::Failed
         } else {
-            Report::Full
+            CallReport::Rejected
         };
         self.core.report(&chosen.id, report);
         true
     }
 
-    fn pass_over(&mut self, server: &str) {
-        self.sent_to.retain(|sent| sent != server);
-        self.passed_over.push(server.to_owned());
+    fn exclude(&mut self, server: &str) {
+        self.attempted_servers.retain(|sent| sent != server);
+        self.excluded_servers.push(server.to_owned());
         self.log.refused_by += 1;
     }
 
-    fn on_error(&mut self, chosen: &Chosen, error: &UpstreamError) -> Result<(), Refusal> {
+    fn on_error(&mut self, chosen: &SelectedServer, error: &UpstreamError) -> Result<(), Refusal> {
         match error {
             UpstreamError::NotSent { .. } => {
-                self.log.note_error(&chosen.id, error);
-                self.core.report(&chosen.id, Report::Failed);
-                // Whoever can't be reached has ended or was cut off, and doesn't count any more.
-                self.pass_over(&chosen.id);
+                self.log.record_error(&chosen.id, error);
+                self.core.report(&chosen.id, CallReport::Failed);
+                // An unreachable server does not count as an attempt.
+                self.exclude(&chosen.id);
                 Ok(())
             }
             UpstreamError::Broken { .. } | UpstreamError::Silent => {
-                self.note_broken(&chosen.id, error);
-                if self.may_repeat() {
+                self.record_failure(&chosen.id, error);
+                if self.may_retry() {
                     return Ok(());
                 }
                 Err(Refusal::Broken)
             }
             UpstreamError::TimedOut => {
-                self.log.note_error(&chosen.id, error);
+                self.log.record_error(&chosen.id, error);
                 Err(Refusal::TimedOut)
             }
         }
     }
 }
 
-/// Tells the scheduler of the pool what became of a call that has a number there.
+/// Reports the end of a call to the pool scheduler, if it is registered there.
 fn end_call(call: Option<ScheduledCall>, end: CallEnd) {
     if let Some(call) = call {
         call.end(end);
     }
 }
 
-/// What an error says of the engine.
+/// How an error ends a call at the pool scheduler.
 fn end_of_error(error: &UpstreamError) -> CallEnd {
     match error {
         UpstreamError::NotSent { .. } | UpstreamError::Broken { .. } | UpstreamError::Silent => {
--- a/crates/courseshed-edge/src/gateway/call_log.rs
+++ b/crates/courseshed-edge/src/gateway/call_log.rs
@@ -1,4 +1,4 @@
-//! The line that is written about a request once it is over, with what decided its way.
+//! The access log entry of a request, with the inputs of its routing decisions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +12,38 @@
 use super::upstream::UpstreamError;
 use crate::metrics::{CallLabels, Metrics};
 
-/// The line that is written about a request once it is over.
+/// The access log entry of a request; written, together with the metrics, on drop.
 pub(super) struct CallLog {
     pub outcome: &'static str,
     pub server: String,
     pub attempts: usize,
     pub refused_by: usize,
-    /// Which servers refused it, each with its status: as many as may before the caller is told.
+    /// The servers that refused the request, as `server:status`.
     refusals: Vec<String>,
     pub events: u64,
     pub resumed: usize,
     pub status: u16,
-    /// How long the first part of the answer took since the request came, if it came.
-    first_part: Option<Duration>,
-    /// What was left of the program's time when the request came.
-    program_left: Option<Duration>,
-    /// What decided the choice of the last server.
+    /// Time from the arrival of the request to the first chunk of the response.
+    first_chunk_after: Option<Duration>,
+    /// Time left to the program when the request arrived.
+    program_time_left: Option<Duration>,
+    /// Inputs of the most recent server selection.
     pub choice: ChoiceInputs,
-    /// Who chose the last server: the scheduler of its pool, or this gateway; empty if none was chosen.
+    /// Who selected the last server, the pool scheduler or this gateway; empty if none was
+    /// selected.
     pub chosen_by: &'static str,
-    /// What decided the last verdict of the scheduler.
+    /// Inputs of the scheduler's last verdict.
     pub schedule: DecisionInputs,
-    /// Version of the routing table that the request was routed by.
+    /// Version of the routing table that routed the request.
     version: u64,
     last_error: String,
-    /// The tenant that it is made for; empty where calls need no key.
+    /// The authenticated tenant; empty if the fleet requires no keys.
     pub tenant: String,
     request: String,
     program: String,
     route: String,
     service: String,
-    began: Instant,
+    started_at: Instant,
     metrics: Arc<Metrics>,
 }
 
@@ -64,8 +65,8 @@
             events: 0,
             resumed: 0,
             status: 0,
-            first_part: None,
-            program_left: call.program.as_ref().and_then(|claim| claim.time_left),
+            first_chunk_after: None,
+            program_time_left: call.program.as_ref().and_then(|claim| claim.time_left),
             choice: ChoiceInputs::default(),
             chosen_by: "",
             schedule: DecisionInputs::default(),
@@ -76,24 +77,24 @@
             program: program.unwrap_or_default(),
             route: route.name.clone(),
             service: service.to_owned(),
-            began: Instant::now(),
+            started_at: Instant::now(),
             metrics,
         }
     }
 
-    /// Notes that the first part of an answer came.
-    pub(super) fn note_first_part(&mut self) {
-        let now = self.began.elapsed();
-        self.first_part.get_or_insert(now);
+    /// Records the arrival of the first chunk of a response.
+    pub(super) fn record_first_chunk(&mut self) {
+        let now = self.started_at.elapsed();
+        self.first_chunk_after.get_or_insert(now);
     }
 
-    /// Notes that a server refused the call without running it.
-    pub(super) fn note_refusal(&mut self, server: &str, status: u16) {
+    /// Records that a server refused the call without executing it.
+    pub(super) fn record_refusal(&mut self, server: &str, status: u16) {
         self.refusals.push(format!("{server}:{status}"));
     }
 
-    /// Notes what became of a try at a server.
-    pub(super) fn note_error(&mut self, server: &str, error: &UpstreamError) {
+    /// Records the error of an attempt at a server.
+    pub(super) fn record_error(&mut self, server: &str, error: &UpstreamError) {
         self.last_error = format!("{server}: {error}");
     }
 }
@@ -111,7 +112,7 @@
         self.metrics.calls.get_or_create(&labels).inc();
         self.metrics
             .call_seconds
-            .observe(self.began.elapsed().as_secs_f64());
+            .observe(self.started_at.elapsed().as_secs_f64());
         self.metrics.attempts.inc_by(self.attempts as u64);
         self.metrics.resumed.inc_by(self.resumed as u64);
         log::info!(
@@ -132,7 +133,7 @@
             version = self.version,
             calls_there = self.choice.calls,
             loads_age_ms = milliseconds(self.choice.loads_age),
-            unread_tokens = self.choice.unread_tokens,
+            unread_tokens = self.choice.uncached_tokens,
             chosen_by = self.chosen_by,
             scheduler_waited_ms = self.schedule.waited_ms,
             scheduler_waiting = self.schedule.waiting,
@@ -140,10 +141,10 @@
             scheduler_calls_there = self.schedule.calls,
             slack_percent = self.schedule.slack_percent,
             last_error = self.last_error.as_str(),
-            program_left_ms = self.program_left.map(milliseconds),
-            first_part_ms = self.first_part.map(milliseconds),
-            took_ms = milliseconds(self.began.elapsed());
-            "a call is over"
+            program_left_ms = self.program_time_left.map(milliseconds),
+            first_part_ms = self.first_chunk_after.map(milliseconds),
+            took_ms = milliseconds(self.started_at.elapsed());
+            "request finished"
         );
     }
 }
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -1,4 +1,4 @@
-//! What all requests of a gateway share. Everything runs on one thread.
+//! State shared by all requests of a gateway. The gateway is single-threaded.
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -12,74 +12,73 @@
 use tokio::time::Instant;
 
 use super::access::{AccessTerms, TenantTerms};
-use super::answer_times::AnswerTimes;
 use super::call::CallCodec;
-use super::held::Ledger;
-use super::held_memory::HeldTerms;
+use super::memory_budget::HeldTerms;
+use super::memory_tracker::MemoryTracker;
 use super::outcome_change::OutcomeChange;
 use super::policy::Policy;
 use super::quota::Quotas;
+use super::response_times::ResponseTimes;
 use super::schedule::SchedulerClient;
-use super::servers::{Report, ServerTable};
+use super::servers::{CallReport, ServerTable};
 use super::upstream::UpstreamPool;
 use crate::clock::Clock;
 use crate::follower::FleetFollower;
 use crate::metrics::Metrics;
 use crate::records::RecordClient;
 
-/// What all requests of a gateway share.
+/// State shared by all requests of a gateway.
 pub(super) struct GatewayCore {
     pub codec: Box<dyn CallCodec>,
     pub follower: Arc<FleetFollower>,
     pub records: RecordClient,
-    /// Asks the schedulers of pools for engines.
+    /// Requests engine assignments from the pool schedulers.
     pub schedulers: Rc<SchedulerClient>,
     pub pool: UpstreamPool,
     pub metrics: Arc<Metrics>,
-    /// What it decides by.
     pub policy: Policy,
-    /// How long keys may be used without hearing that they still are.
+    /// How long keys stay usable without fresh proof that the routing table is current.
     pub access: AccessTerms,
-    /// Permits of tenants whose requests are limited.
+    /// Rate-limit permits of tenants with a quota.
     pub quotas: Quotas,
     pub clock: Clock,
-    /// What is held for callers.
-    pub ledger: Rc<Ledger>,
+    /// Memory held for client connections.
+    pub memory_tracker: Rc<MemoryTracker>,
     pub servers: RefCell<ServerTable>,
-    pub answer_times: RefCell<AnswerTimes>,
-    /// Where this gateway stands.
+    pub response_times: RefCell<ResponseTimes>,
+    /// The zone of this gateway.
     pub zone: String,
-    /// When a planned stop ends the process; none while it isn't stopping.
-    pub ends_at: Cell<Option<Instant>>,
-    pub under_way: Cell<usize>,
+    /// When a graceful shutdown terminates the process; `None` while not shutting down.
+    pub shutdown_at: Cell<Option<Instant>>,
+    pub in_flight_requests: Cell<usize>,
     splits: RefCell<HashMap<String, RouteSplit>>,
 }
 
-/// The turns of one route among its parts, as long as the parts stay the same.
+/// Weighted round-robin state of one route; reset when the targets of the route change.
 struct RouteSplit {
     targets: Vec<Target>,
     counter: SplitCounter,
 }
 
-/// What a gateway is made of.
-pub(super) struct CoreParts {
+/// The components that [`GatewayCore::new`] assembles.
+pub(super) struct CoreConfig {
     pub codec: Box<dyn CallCodec>,
     pub follower: Arc<FleetFollower>,
     pub records: RecordClient,
     pub schedulers: Rc<SchedulerClient>,
     pub metrics: Arc<Metrics>,
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
     pub policy: Policy,
     pub tenants: TenantTerms,
-    /// How much it may hold for callers and servers that read slowly.
+    /// Memory limits for slow clients and servers.
     pub memory: HeldTerms,
 }
 
 impl GatewayCore {
-    pub(super) fn new(parts: CoreParts) -> Rc<Self> {
-        let CoreParts {
+    pub(super) fn new(config: CoreConfig) -> Rc<Self> {
+        let CoreConfig {
             codec,
             follower,
             records,
@@ -90,7 +89,7 @@
             policy,
             tenants,
             memory,
-        } = parts;
+        } = config;
         let access = tenants.revocation.map(AccessTerms::strict);
         Rc::new(Self {
             codec,
@@ -98,7 +97,7 @@
             records,
             schedulers,
             pool: UpstreamPool::new(),
-            ledger: Ledger::new(memory, metrics.clone()),
+            memory_tracker: MemoryTracker::new(memory, metrics.clone()),
             metrics,
             clock: Clock::start(),
             servers: RefCell::new(
@@ -109,25 +108,25 @@
             policy,
             access: access.unwrap_or_default(),
             quotas: Quotas::new(tenants.quota),
-            answer_times: RefCell::default(),
+            response_times: RefCell::default(),
             zone,
-            ends_at: Cell::new(None),
-            under_way: Cell::new(0),
+            shutdown_at: Cell::new(None),
+            in_flight_requests: Cell::new(0),
             splits: RefCell::default(),
         })
     }
 
-    /// Whether a planned stop has begun.
+    /// Whether a graceful shutdown has begun.
     pub(super) fn is_draining(&self) -> bool {
-        self.ends_at.get().is_some()
+        self.shutdown_at.get().is_some()
     }
 
-    /// Whether the process is still there at a time.
-    pub(super) fn is_there_at(&self, time: Instant) -> bool {
-        self.ends_at.get().is_none_or(|end| time <= end)
+    /// Whether the process will still be running at `time`.
+    pub(super) fn is_running_at(&self, time: Instant) -> bool {
+        self.shutdown_at.get().is_none_or(|end| time <= end)
     }
 
-    /// The service that the next call of a route goes to.
+    /// Picks the service for the next call of a route.
     pub(super) fn split(&self, route: &Route) -> Option<String> {
         if let [only] = route.targets.as_slice() {
             return Some(only.service.clone());
@@ -143,36 +142,37 @@
         Some(route.targets[index].service.clone())
     }
 
-    /// Forgets what is known of routes that are gone.
+    /// Drops the state of routes that no longer exist.
     pub(super) fn retain_routes(&self, table: &RoutingTable) {
-        let is_there = |name: &str| table.routes.iter().any(|route| route.name == name);
-        self.splits.borrow_mut().retain(|name, _| is_there(name));
-        self.answer_times.borrow_mut().retain(is_there);
+        let exists = |name: &str| table.routes.iter().any(|route| route.name == name);
+        self.splits.borrow_mut().retain(|name, _| exists(name));
+        self.response_times.borrow_mut().retain(exists);
     }
 
-    pub(super) fn report(&self, server: &str, report: Report) {
+    pub(super) fn report(&self, server: &str, report: CallReport) {
         let now = self.clock.now();
         let mut servers = self.servers.borrow_mut();
         servers.report(server, report, now);
-        servers.advance_outcomes_after(server, report, now);
-        self.tell_changes(&mut servers);
+        servers.reevaluate_after(server, report, now);
+        self.log_changes(&mut servers);
     }
 
-    /// Judges anew which servers are avoided.
-    pub(super) fn advance_outcomes(&self) {
+    /// Re-evaluates which servers are avoided.
+    pub(super) fn reevaluate_avoidance(&self) {
         let mut servers = self.servers.borrow_mut();
-        servers.advance_outcomes(self.clock.now());
-        self.tell_changes(&mut servers);
+        servers.reevaluate_avoidance(self.clock.now());
+        self.log_changes(&mut servers);
     }
 
-    /// Judges anew, and counts the avoided servers: some may have left the list.
-    pub(super) fn tell_avoided(&self) {
-        self.advance_outcomes();
+    /// Re-evaluates which servers are avoided and refreshes the metric, since servers may have been
+    /// delisted.
+    pub(super) fn refresh_avoided(&self) {
+        self.reevaluate_avoidance();
         self.metrics.set_avoided(&self.servers.borrow().avoided());
     }
 
-    /// Logs which servers begin and cease to be avoided, and counts them.
-    fn tell_changes(&self, servers: &mut ServerTable) {
+    /// Logs servers that start or stop being avoided, and updates the metric.
+    fn log_changes(&self, servers: &mut ServerTable) {
         let changes = servers.take_changes();
         if changes.is_empty() {
             return;
@@ -188,7 +188,7 @@
     let event = match change.change {
         AvoidanceChange::Begun => "server_avoided",
         AvoidanceChange::Ended => "server_trusted_again",
-        // Probes fail again and again while a server is down: its begin and its end are enough.
+        // Probes keep failing while a server is down; only the start and the end are logged.
         AvoidanceChange::Prolonged => return,
     };
     log::info!(
@@ -198,7 +198,7 @@
         answered = change.counts.answered,
         failed = change.counts.failed,
         others_age_ms = change.counts_age.as_millis() as u64;
-        "whether a server is avoided has changed"
+        "server avoidance changed"
     );
 }
 
@@ -211,18 +211,18 @@
     }
 }
 
-/// Counts a request at a server for as long as it lives.
-pub(super) struct InFlight {
+/// Counts a request as in flight at a server until dropped.
+pub(super) struct InFlightGuard {
     core: Rc<GatewayCore>,
     server: String,
 }
 
-impl InFlight {
+impl InFlightGuard {
     pub(super) fn begin(core: &Rc<GatewayCore>, server: &str) -> Self {
         let now = core.clock.now();
         let mut servers = core.servers.borrow_mut();
         servers.begin(server);
-        servers.note_sent(server, now);
+        servers.record_sent(server, now);
         drop(servers);
         Self {
             core: core.clone(),
@@ -231,7 +231,7 @@
     }
 }
 
-impl Drop for InFlight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.core.servers.borrow_mut().end(&self.server);
     }
--- a/crates/courseshed-edge/src/gateway/directory.rs
+++ b/crates/courseshed-edge/src/gateway/directory.rs
@@ -1,13 +1,13 @@
-//! All servers that are listed, and which of them are weighed for a call. Pure.
+//! Index of the listed servers, and selection of the candidates for a call. No I/O.
 //!
-//! A gateway of a large fleet makes few calls and can't weigh all servers for each, nor does it need to: those
-//! of its own zone that all gateways prefer for the same prompt (rendezvous hashing) are as many as the
-//! prompt's calls need, and others come in only when these are crowded. Up to [`OWN_ZONE`] servers in the own
-//! zone and [`OTHER_ZONE`] in each other one, all are weighed.
+//! In a large fleet, costing every server for every call is too expensive. The candidates are the
+//! servers of the own zone that come first in the rendezvous hashing order of the prompt, which all
+//! gateways share, plus some of each other zone; the set grows while they are crowded. Up to
+//! [`OWN_ZONE_CANDIDATES`] servers in the own zone and [`OTHER_ZONE_CANDIDATES`] in each other
+//! zone, all servers are candidates.
 //!
-//! Work for a call depends on these numbers, and work for a change of the list on what changed, whatever the
-//! size of the fleet: weighing 10,000 servers took 1 ms of processor time for each call, which is 8 ms on an
-//! eighth of a core, and as much for each change that a gateway heard of.
+//! The cost of a call depends on these limits, and the cost of a list change on the size of the
+//! change; neither depends on the size of the fleet.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, HashMap};
@@ -17,23 +17,23 @@
 use courseshed_types::ServerKey;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// Servers of the own zone that are weighed first. With slots for 4 to 16 calls each they run several times
-/// what one shared prompt brings to a zone at 20,000 calls a second over 19 zones and 13 models.
-const OWN_ZONE: usize = 128;
-/// Servers of each other zone that are weighed first.
-const OTHER_ZONE: usize = 32;
-/// Prompts whose preferred servers are remembered for a zone: those of 13 models with a few applications each.
-const REMEMBERED_PROMPTS: usize = 64;
-/// How many more servers are remembered for a prompt than are asked for, so that removals seldom make the
-/// whole zone be looked through.
-const SPARE: usize = 2;
-
-/// How servers that are alike are taken in turn.
+/// Initial number of candidates in the own zone; their slots cover several times the calls that
+/// share one prompt.
+const OWN_ZONE_CANDIDATES: usize = 128;
+/// Initial number of candidates in each other zone.
+const OTHER_ZONE_CANDIDATES: usize = 32;
+/// Maximum number of prompts whose preference order is cached for a zone.
+const MAX_CACHED_PROMPTS: usize = 64;
+/// Factor by which a cached preference order exceeds the requested size, so that removals rarely
+/// force a new scan of the zone.
+const CACHE_OVERSIZE_FACTOR: usize = 2;
+
+/// How candidates are picked among equivalent servers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Preference {
-    /// All gateways prefer the same for the same number.
+    /// The rendezvous hashing order for this salt, which all gateways share.
     Shared(u64),
-    /// Any will do; the number picks some.
+    /// An arbitrary range of servers that starts at this index.
     Any(u64),
 }
 
@@ -49,57 +49,57 @@
 #[derive(Clone, Debug, Default)]
 struct ZoneServers {
     servers: Vec<Arc<Server>>,
-    /// Places of the servers among them, by id.
-    places: HashMap<String, usize>,
+    /// Index in `servers`, by server ID.
+    positions: HashMap<String, usize>,
     preferred: RefCell<HashMap<u64, PreferredServers>>,
 }
 
-/// The servers of a zone that are preferred for one number, most preferred first.
+/// The first servers of a zone in the rendezvous hashing order for one salt.
 #[derive(Clone, Debug)]
 struct PreferredServers {
     order: Vec<(u64, Arc<Server>)>,
-    /// All servers whose place in the order is before this one are among them.
-    complete_before: u64,
+    /// All servers with a rank below this are in `order`.
+    complete_below: u64,
 }
 
-/// Where a server stands for a number: the lowest is preferred.
-pub(super) fn preference(server: ServerKey, salt: u64) -> u64 {
+/// Rendezvous hashing rank of a server for a salt; the lowest is preferred.
+pub(super) fn rendezvous_rank(server: ServerKey, salt: u64) -> u64 {
     xxh3_64_with_seed(&server.0.to_le_bytes(), salt)
 }
 
 impl Directory {
-    /// Takes in a newer list; returns what changed.
+    /// Applies a newer server list and returns the changes.
     pub(super) fn follow(&mut self, list: &ServerList) -> Vec<ListChange> {
         let changes = list.changes_from(&self.listed);
         self.listed = list.clone();
         for change in &changes {
             match change {
-                ListChange::Listed(server) => self.put(server),
+                ListChange::Listed(server) => self.insert(server),
                 ListChange::Changed { before, now } => {
-                    self.take_out(before);
-                    self.put(now);
+                    self.remove(before);
+                    self.insert(now);
                 }
-                ListChange::Gone(server) => self.take_out(server),
+                ListChange::Gone(server) => self.remove(server),
             }
         }
         changes
     }
 
-    fn put(&mut self, server: &Arc<Server>) {
+    fn insert(&mut self, server: &Arc<Server>) {
         self.by_key
             .insert(ServerKey::of(&server.id), server.clone());
         let zones = self.services.entry(server.service.clone()).or_default();
         let zone = zones.entry(server.zone.clone()).or_default();
-        zone.put(server);
+        zone.insert(server);
     }
 
-    fn take_out(&mut self, server: &Server) {
+    fn remove(&mut self, server: &Server) {
         self.by_key.remove(&ServerKey::of(&server.id));
         let Some(zones) = self.services.get_mut(&server.service) else {
             return;
         };
         if let Some(zone) = zones.get_mut(&server.zone) {
-            zone.take_out(&server.id);
+            zone.remove(&server.id);
         }
         zones.retain(|_, zone| !zone.servers.is_empty());
         if zones.is_empty() {
@@ -111,23 +111,22 @@
         self.listed.get(id)
     }
 
-    /// The server that a key names.
     pub(super) fn by_key(&self, key: ServerKey) -> Option<&Arc<Server>> {
         self.by_key.get(&key)
     }
 
-    /// The services that have servers.
+    /// Names of services with at least one server.
     pub(super) fn services(&self) -> impl Iterator<Item = &str> {
         self.services.keys().map(String::as_str)
     }
 
-    /// How many servers a service has.
+    /// Number of servers of a service.
     pub(super) fn count(&self, service: &str) -> usize {
         let zones = self.services.get(service).into_iter().flatten();
         zones.map(|(_, zone)| zone.servers.len()).sum()
     }
 
-    /// The servers that are weighed for a call of a service from a zone; `width` times as many as first.
+    /// The candidates for a call from a zone; `width` multiplies the initial number.
     pub(super) fn candidates(
         &self,
         service: &str,
@@ -139,9 +138,9 @@
         let mut candidates = Vec::new();
         for (name, zone) in zones {
             let most = if name == own_zone {
-                OWN_ZONE
+                OWN_ZONE_CANDIDATES
             } else {
-                OTHER_ZONE
+                OTHER_ZONE_CANDIDATES
             };
             zone.pick(preference, most * width, &mut candidates);
         }
@@ -150,28 +149,28 @@
 }
 
 impl ZoneServers {
-    fn put(&mut self, server: &Arc<Server>) {
-        self.places.insert(server.id.clone(), self.servers.len());
+    fn insert(&mut self, server: &Arc<Server>) {
+        self.positions.insert(server.id.clone(), self.servers.len());
         self.servers.push(server.clone());
         for (salt, preferred) in self.preferred.get_mut() {
-            preferred.put(*salt, server);
+            preferred.insert(*salt, server);
         }
     }
 
-    fn take_out(&mut self, id: &str) {
-        let Some(place) = self.places.remove(id) else {
+    fn remove(&mut self, id: &str) {
+        let Some(position) = self.positions.remove(id) else {
             return;
         };
-        self.servers.swap_remove(place);
-        if let Some(moved) = self.servers.get(place) {
-            self.places.insert(moved.id.clone(), place);
+        self.servers.swap_remove(position);
+        if let Some(moved) = self.servers.get(position) {
+            self.positions.insert(moved.id.clone(), position);
         }
         for preferred in self.preferred.get_mut().values_mut() {
             preferred.order.retain(|(_, server)| server.id != id);
         }
     }
 
-    /// Adds at most so many servers to those picked.
+    /// Appends at most `most` servers to `picked`.
     fn pick(&self, preference: Preference, most: usize, picked: &mut Vec<Arc<Server>>) {
         if self.servers.len() <= most {
             picked.extend(self.servers.iter().cloned());
@@ -188,16 +187,16 @@
     }
 
     fn pick_preferred(&self, salt: u64, most: usize, picked: &mut Vec<Arc<Server>>) {
-        let mut remembered = self.preferred.borrow_mut();
-        if remembered.len() >= REMEMBERED_PROMPTS && !remembered.contains_key(&salt) {
-            remembered.clear();
+        let mut cached = self.preferred.borrow_mut();
+        if cached.len() >= MAX_CACHED_PROMPTS && !cached.contains_key(&salt) {
+            cached.clear();
         }
-        let known = remembered.get(&salt);
+        let known = cached.get(&salt);
         if known.is_none_or(|preferred| preferred.order.len() < most) {
-            let preferred = PreferredServers::of(&self.servers, salt, most * SPARE);
-            remembered.insert(salt, preferred);
+            let preferred = PreferredServers::of(&self.servers, salt, most * CACHE_OVERSIZE_FACTOR);
+            cached.insert(salt, preferred);
         }
-        let order = remembered.get(&salt).into_iter();
+        let order = cached.get(&salt).into_iter();
         let order = order.flat_map(|preferred| &preferred.order);
         picked.extend(order.take(most).map(|(_, server)| server.clone()));
     }
@@ -205,25 +204,25 @@
 
 impl PreferredServers {
     fn of(servers: &[Arc<Server>], salt: u64, count: usize) -> Self {
-        let rank = |server: &Arc<Server>| preference(ServerKey::of(&server.id), salt);
+        let rank = |server: &Arc<Server>| rendezvous_rank(ServerKey::of(&server.id), salt);
         let mut order: Vec<(u64, Arc<Server>)> = servers
             .iter()
             .map(|server| (rank(server), server.clone()))
             .collect();
         order.sort_unstable_by_key(|(rank, _)| *rank);
-        let complete_before = order.get(count).map_or(u64::MAX, |(rank, _)| *rank);
+        let complete_below = order.get(count).map_or(u64::MAX, |(rank, _)| *rank);
         order.truncate(count);
         Self {
             order,
-            complete_before,
+            complete_below,
         }
     }
 
-    fn put(&mut self, salt: u64, server: &Arc<Server>) {
-        let rank = preference(ServerKey::of(&server.id), salt);
-        if rank < self.complete_before {
-            let place = self.order.partition_point(|(other, _)| *other < rank);
-            self.order.insert(place, (rank, server.clone()));
+    fn insert(&mut self, salt: u64, server: &Arc<Server>) {
+        let rank = rendezvous_rank(ServerKey::of(&server.id), salt);
+        if rank < self.complete_below {
+            let position = self.order.partition_point(|(other, _)| *other < rank);
+            self.order.insert(position, (rank, server.clone()));
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -1,5 +1,5 @@
-//! Calls that are answered at once: the whole answer is read before the caller gets any of it, up to
-//! a bound. What is longer, or finds no memory, is passed on in pieces as the caller takes them.
+//! Forwards non-streaming calls. Responses are buffered up to a limit before they are sent to the
+//! client; longer ones, and those for which memory is short, are streamed.
 
 use std::pin::Pin;
 use std::task::{Context, Poll};
@@ -13,21 +13,21 @@
 use snafu::Snafu;
 use tokio::time::timeout_at;
 
-use super::attempts::{Attempts, Opened};
-use super::held::Holding;
-use super::held_memory::HeldKind;
+use super::attempts::{Attempts, OpenedResponse};
+use super::memory_budget::BufferKind;
+use super::memory_tracker::RequestMemory;
 use super::refusal::Refusal;
-use super::servers::Report;
+use super::servers::CallReport;
 use super::upstream::UpstreamError;
 use crate::http::is_of_connection;
 
-/// Longest answer that is read whole, in bytes: far more than a tool or a model answers with, and
-/// small beside the memory of the smallest machine.
-const WHOLE_ANSWER: usize = 1024 * 1024;
-/// What is handed to the caller's connection at a time, in bytes: what the library writes at once.
-const PIECE: usize = 8 * 1024;
+/// Longest response that is buffered completely, in bytes.
+const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
+/// Size of the chunks passed to the client's connection, in bytes; the HTTP library writes that
+/// much at once.
+const CHUNK_BYTES: usize = 8 * 1024;
 
-/// Passes a call on and answers it.
+/// Forwards a call and returns the response.
 pub(super) async fn forward(mut attempts: Attempts) -> Response<BoxBody> {
     loop {
         let mut opened = match attempts.open(None).await {
@@ -36,12 +36,12 @@
         };
         attempts.release_body();
         match read_body(&mut opened, &attempts).await {
-            Ok(read) => return answer(attempts, opened, read),
+            Ok(read) => return respond(attempts, opened, read),
             Err(UpstreamError::TimedOut) => return refuse(attempts, Refusal::TimedOut),
             Err(error) => {
-                attempts.note_broken(&opened.server, &error);
+                attempts.record_failure(&opened.server, &error);
                 opened.end_call(CallEnd::Broken);
-                if !attempts.may_repeat() {
+                if !attempts.may_retry() {
                     return refuse(attempts, Refusal::Broken);
                 }
             }
@@ -49,7 +49,7 @@
     }
 }
 
-/// Answers a caller with a refusal, and notes it.
+/// Responds with a refusal and records it in the access log.
 pub(super) fn refuse(mut attempts: Attempts, refusal: Refusal) -> Response<BoxBody> {
     attempts.log.outcome = refusal.as_str();
     let response = refusal.response();
@@ -57,89 +57,94 @@
     response
 }
 
-/// As much of an answer as is read before the caller gets any of it.
-pub(super) enum AnswerRead {
-    /// All of it.
-    Whole(Bytes),
-    /// Its beginning.
-    Begun(Bytes),
+/// The part of a response that was buffered before the client receives any of it.
+pub(super) enum BufferedResponse {
+    /// The complete body.
+    Complete(Bytes),
+    /// The beginning of the body.
+    Partial(Bytes),
 }
 
-async fn read_body(opened: &mut Opened, attempts: &Attempts) -> Result<AnswerRead, UpstreamError> {
-    let read = read_to_bound(opened, attempts).await?;
-    // An error of the server's own says nothing of how fast it serves calls.
+async fn read_body(
+    opened: &mut OpenedResponse,
+    attempts: &Attempts,
+) -> Result<BufferedResponse, UpstreamError> {
+    let read = read_up_to_limit(opened, attempts).await?;
+    // Server errors don't represent the latency of calls.
     if !opened.head.status.is_server_error() {
         let took = opened.sent_at.elapsed();
-        attempts.core.report(&opened.server, Report::Paced(took));
-        attempts.note_answer_time(took);
+        attempts
+            .core
+            .report(&opened.server, CallReport::Latency(took));
+        attempts.record_response_time(took);
         match read {
-            AnswerRead::Whole(_) => attempts.note_finished(opened, 0),
-            // The rest takes as long as the caller does, and the engine is occupied until then.
-            AnswerRead::Begun(_) => attempts.note_read_prompt(opened, 0, took),
+            BufferedResponse::Complete(_) => attempts.record_finished(opened, 0),
+            // The rest arrives at the client's pace, and the engine stays occupied until then.
+            BufferedResponse::Partial(_) => attempts.record_processed(opened, 0, took),
         };
     }
     Ok(read)
 }
 
-/// Reads an answer, as far as it may be read before the caller gets any of it.
-pub(super) async fn read_to_bound(
-    opened: &mut Opened,
+/// Reads a response body up to the buffer limit.
+pub(super) async fn read_up_to_limit(
+    opened: &mut OpenedResponse,
     attempts: &Attempts,
-) -> Result<AnswerRead, UpstreamError> {
+) -> Result<BufferedResponse, UpstreamError> {
     let upstream = &mut opened.upstream;
-    let holding = &attempts.holding;
+    let memory = &attempts.memory;
     let read = async {
         let mut body = BytesMut::new();
         while let Some(chunk) = upstream.next_chunk().await? {
             body.extend_from_slice(&chunk);
-            holding.set(HeldKind::Answer, body.capacity() + upstream.buffered());
-            if body.len() > WHOLE_ANSWER || !holding.has_room() {
-                return Ok(AnswerRead::Begun(body.freeze()));
+            memory.set(BufferKind::Response, body.capacity() + upstream.buffered());
+            if body.len() > MAX_BUFFERED_BYTES || !memory.has_room() {
+                return Ok(BufferedResponse::Partial(body.freeze()));
             }
         }
-        Ok(AnswerRead::Whole(body.freeze()))
+        Ok(BufferedResponse::Complete(body.freeze()))
     };
     timeout_at(attempts.deadline, read)
         .await
         .unwrap_or(Err(UpstreamError::TimedOut))
 }
 
-/// Answers a caller with what was read, and what follows it.
-pub(super) fn answer(
+/// Responds with the buffered part, followed by the rest of the body.
+pub(super) fn respond(
     mut attempts: Attempts,
-    mut opened: Opened,
-    read: AnswerRead,
+    mut opened: OpenedResponse,
+    read: BufferedResponse,
 ) -> Response<BoxBody> {
-    let response = answer_head(&opened.head);
+    let response = response_head(&opened.head);
     attempts.log.status = opened.head.status.as_u16();
     match read {
-        AnswerRead::Whole(body) => {
+        BufferedResponse::Complete(body) => {
             attempts.log.outcome = "answered";
-            attempts.note_answered(&mut opened);
-            opened.upstream.finish();
-            response.set_body(BoxBody::new(WholeAnswer {
+            attempts.record_outcome(&mut opened);
+            opened.upstream.release();
+            response.set_body(BoxBody::new(BufferedBody {
                 rest: body,
-                _holding: attempts.holding,
+                _memory: attempts.memory,
             }))
         }
-        AnswerRead::Begun(ready) => {
-            let pieces = Pieces {
+        BufferedResponse::Partial(ready) => {
+            let body = StreamedBody {
                 attempts,
                 opened,
                 ready,
             };
-            response.set_body(BoxBody::new(BodyStream::new(Box::pin(pieces.stream()))))
+            response.set_body(BoxBody::new(BodyStream::new(Box::pin(body.stream()))))
         }
     }
 }
 
-/// An answer that was read whole, handed on as the caller's connection takes it.
-struct WholeAnswer {
+/// A completely buffered body, released in chunks as the client's connection accepts them.
+struct BufferedBody {
     rest: Bytes,
-    _holding: Holding,
+    _memory: RequestMemory,
 }
 
-impl MessageBody for WholeAnswer {
+impl MessageBody for BufferedBody {
     type Error = std::convert::Infallible;
 
     fn size(&self) -> BodySize {
@@ -150,78 +155,79 @@
         mut self: Pin<&mut Self>,
         _: &mut Context<'_>,
     ) -> Poll<Option<Result<Bytes, Self::Error>>> {
-        let length = self.rest.len().min(PIECE);
-        let piece = self.rest.split_to(length);
-        Poll::Ready((!piece.is_empty()).then_some(Ok(piece)))
+        let length = self.rest.len().min(CHUNK_BYTES);
+        let chunk = self.rest.split_to(length);
+        Poll::Ready((!chunk.is_empty()).then_some(Ok(chunk)))
     }
 }
 
-/// The rest of an answer doesn't come; its connection is closed so that it doesn't look whole.
+/// The response was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the answer was broken off"))]
-struct BrokenOff;
+#[snafu(display("the response was truncated"))]
+struct Truncated;
 
-/// An answer of which the caller gets the beginning before its end is there.
-struct Pieces {
+/// A response that is streamed to the client after its buffered beginning.
+struct StreamedBody {
     attempts: Attempts,
-    opened: Opened,
+    opened: OpenedResponse,
     ready: Bytes,
 }
 
-impl Pieces {
-    fn stream(self) -> impl stream::Stream<Item = Result<Bytes, BrokenOff>> {
-        stream::unfold(Some(self), |pieces| async {
-            let mut pieces = pieces?;
-            match pieces.next().await {
-                Ok(Some(piece)) => Some((Ok(piece), Some(pieces))),
+impl StreamedBody {
+    fn stream(self) -> impl stream::Stream<Item = Result<Bytes, Truncated>> {
+        stream::unfold(Some(self), |body| async {
+            let mut body = body?;
+            match body.next().await {
+                Ok(Some(chunk)) => Some((Ok(chunk), Some(body))),
                 Ok(None) => {
-                    pieces.attempts.log.outcome = "answered";
-                    pieces.attempts.note_answered(&mut pieces.opened);
-                    pieces.opened.upstream.finish();
+                    body.attempts.log.outcome = "answered";
+                    body.attempts.record_outcome(&mut body.opened);
+                    body.opened.upstream.release();
                     None
                 }
                 Err(error) => {
-                    pieces.note_end(&error);
-                    pieces.attempts.log.outcome = "broken_off";
-                    Some((Err(BrokenOff), None))
+                    body.record_truncation(&error);
+                    body.attempts.log.outcome = "broken_off";
+                    Some((Err(Truncated), None))
                 }
             }
         })
     }
 
-    /// Notes why the rest doesn't come. That the call's time is over may be the caller's doing, and says
-    /// nothing of the server.
-    fn note_end(&mut self, error: &UpstreamError) {
+    /// Records why the rest of the response is missing. A passed deadline may be due to a slow
+    /// client and does not count against the server.
+    fn record_truncation(&mut self, error: &UpstreamError) {
         let server = &self.opened.server;
         if matches!(error, UpstreamError::TimedOut) {
-            self.attempts.log.note_error(server, error);
+            self.attempts.log.record_error(server, error);
             return;
         }
-        self.attempts.note_broken(server, error);
+        self.attempts.record_failure(server, error);
         self.opened.end_call(CallEnd::Broken);
     }
 
-    /// The next piece; nothing is read from the server before the one before was taken.
+    /// The next chunk. Reads from the server only after the client's connection accepted the
+    /// previous one.
     async fn next(&mut self) -> Result<Option<Bytes>, UpstreamError> {
         if !self.ready.is_empty() {
-            let length = self.ready.len().min(PIECE);
+            let length = self.ready.len().min(CHUNK_BYTES);
             return Ok(Some(self.ready.split_to(length)));
         }
         self.ready = Bytes::new();
         let upstream = &mut self.opened.upstream;
         let next = timeout_at(self.attempts.deadline, upstream.next_chunk()).await;
         let buffered = upstream.buffered();
-        self.attempts.holding.set(HeldKind::Answer, buffered);
+        self.attempts.memory.set(BufferKind::Response, buffered);
         next.unwrap_or(Err(UpstreamError::TimedOut))
     }
 }
 
-/// The head of the server's answer, as it goes to the caller.
-pub(super) fn answer_head(head: &ResponseHead) -> Response<BoxBody> {
+/// The head of the server's response, without hop-by-hop headers.
+pub(super) fn response_head(head: &ResponseHead) -> Response<BoxBody> {
     let mut response = Response::new(head.status);
     for (name, value) in head.headers() {
-        let is_written_anew = name == header::CONTENT_LENGTH || name == header::DATE;
-        if !is_of_connection(name.as_str()) && !is_written_anew {
+        let is_regenerated = name == header::CONTENT_LENGTH || name == header::DATE;
+        if !is_of_connection(name.as_str()) && !is_regenerated {
             response.headers_mut().append(name.clone(), value.clone());
         }
     }
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -1,8 +1,8 @@
-//! Permits for calls of tenants whose requests are limited, and the exchange with their owner.
+//! Rate-limit permits of tenants with a quota, and their exchange with the owner of the quota, the
+//! leader of the controllers.
 //!
-//! A call takes a permit of those that this gateway holds. If none is free it asks the owner at once,
-//! and waits for as long as an answer is likely to bring one: a controller answers within a round
-//! between zones.
+//! A call takes a permit held by this gateway. If none is free, the gateway requests more at once,
+//! and the call waits for a bounded time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -21,26 +21,26 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
 
-/// Pause between reports while permits are held. Two reports take what is idle here to another
-/// gateway, and a lease of 5 s is renewed many times.
+/// Interval of reports while permits are held. Two reports move idle permits to another gateway;
+/// leases are renewed many times before they expire.
 const EXCHANGE_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the owner may take: many times a round between zones (3 to 10 ms).
-const ANSWER_LIMIT: Duration = Duration::from_millis(300);
-/// Shortest time from one report to the next, however many calls wait.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(5);
-/// How long a call waits for a permit at most: what takes idle ones here from other gateways, which
-/// is two exchanges and some.
-const WAIT_LIMIT: Duration = Duration::from_millis(600);
-/// The part of a call's time that it may wait.
-const WAIT_PART: u32 = 4;
-/// Answers after which a call no longer waits for a tenant whose permits are taken everywhere.
-const ANSWERS_BORNE: u32 = 2;
+/// Timeout of a report; many times the round trip between zones.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Minimum interval between reports.
+const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest wait for a permit: enough for the two exchanges that reclaim idle permits from other
+/// gateways.
+const MAX_PERMIT_WAIT: Duration = Duration::from_millis(600);
+/// Divisor of a call's remaining time that bounds its wait for a permit.
+const PERMIT_WAIT_DIVISOR: u32 = 4;
+/// Responses from the owner after which a call is refused if all permits of its tenant are in use.
+const ANSWERS_BEFORE_REFUSAL: u32 = 2;
 
-/// A gateway's permits, and its side of the exchange with their owner.
+/// The permits of a gateway and its side of the exchange with the owner.
 pub(super) struct Quotas {
     holder: RefCell<QuotaHolder>,
     clock: Clock,
-    wanted: Notify,
+    requested: Notify,
     answers: watch::Sender<u64>,
 }
 
@@ -51,7 +51,7 @@
         Self {
             holder: RefCell::new(holder),
             clock,
-            wanted: Notify::new(),
+            requested: Notify::new(),
             answers: watch::channel(0).0,
         }
     }
@@ -59,8 +59,8 @@
     /// Takes a permit of a tenant for a call that is about to be sent.
     ///
     /// # Errors
-    /// [`Refusal::OverQuota`] if the tenant's permits are taken, [`Refusal::NoQuota`] if the owner
-    /// can't be asked.
+    /// [`Refusal::OverQuota`] if all permits of the tenant are in use, [`Refusal::NoQuota`] if the
+    /// owner does not respond.
     pub(super) async fn acquire(
         core: &Rc<GatewayCore>,
         tenant: &str,
@@ -68,7 +68,7 @@
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let began = Instant::now();
-        let acquired = Self::find(core, tenant, standing, deadline).await;
+        let acquired = Self::wait_for_permit(core, tenant, standing, deadline).await;
         core.metrics
             .permit_wait
             .observe(began.elapsed().as_secs_f64());
@@ -83,7 +83,7 @@
         acquired
     }
 
-    async fn find(
+    async fn wait_for_permit(
         core: &Rc<GatewayCore>,
         tenant: &str,
         standing: Standing,
@@ -91,8 +91,9 @@
     ) -> Result<Permit, Refusal> {
         let quotas = &core.quotas;
         let now = Instant::now();
-        let patience = (deadline.saturating_duration_since(now) / WAIT_PART).min(WAIT_LIMIT);
-        let give_up = now + patience;
+        let max_wait =
+            (deadline.saturating_duration_since(now) / PERMIT_WAIT_DIVISOR).min(MAX_PERMIT_WAIT);
+        let wait_until = now + max_wait;
         let mut answers = quotas.answers.subscribe();
         let mut answered = 0;
         let mut waiting = None;
@@ -102,19 +103,19 @@
                 Err(Shortage::KeptForOthers) => return Err(quotas.over_quota(tenant)),
                 Err(Shortage::Here) => {}
             }
-            if answered >= ANSWERS_BORNE && quotas.is_taken_everywhere(tenant) {
+            if answered >= ANSWERS_BEFORE_REFUSAL && quotas.is_taken_everywhere(tenant) {
                 return Err(quotas.over_quota(tenant));
             }
-            if Instant::now() >= give_up {
+            if Instant::now() >= wait_until {
                 return Err(if answered > 0 {
                     quotas.over_quota(tenant)
                 } else {
                     Refusal::NoQuota
                 });
             }
-            waiting.get_or_insert_with(|| WaitingCall::begin(core, tenant));
-            quotas.wanted.notify_one();
-            let is_answered = timeout_at(give_up, answers.changed()).await.is_ok();
+            waiting.get_or_insert_with(|| WaitGuard::begin(core, tenant));
+            quotas.requested.notify_one();
+            let is_answered = timeout_at(wait_until, answers.changed()).await.is_ok();
             answered += u32::from(is_answered);
         }
     }
@@ -136,13 +137,13 @@
     }
 }
 
-/// Counts a call as waiting for as long as it lives.
-struct WaitingCall {
+/// Counts a call as waiting for a permit until dropped.
+struct WaitGuard {
     core: Rc<GatewayCore>,
     tenant: String,
 }
 
-impl WaitingCall {
+impl WaitGuard {
     fn begin(core: &Rc<GatewayCore>, tenant: &str) -> Self {
         core.quotas.holder.borrow_mut().begin_waiting(tenant);
         Self {
@@ -152,14 +153,14 @@
     }
 }
 
-impl Drop for WaitingCall {
+impl Drop for WaitGuard {
     fn drop(&mut self) {
         let mut holder = self.core.quotas.holder.borrow_mut();
         holder.end_waiting(&self.tenant);
     }
 }
 
-/// A permit that a call has taken. It is given back if the call is never sent.
+/// A permit taken by a call. Returned on drop unless it was used.
 pub(super) struct Permit {
     core: Rc<GatewayCore>,
     tenant: String,
@@ -175,18 +176,19 @@
         }
     }
 
-    /// Occupies the permit from now on; false if it has lapsed, so that nothing may be sent.
+    /// Marks the permit as used. Returns false if it has expired, in which case nothing may be
+    /// sent.
     pub(super) fn send(&mut self) -> bool {
         let quotas = &self.core.quotas;
         let now = quotas.clock.now();
         let may_send = quotas.holder.borrow_mut().send(now, &self.tenant);
-        // Whether sent or lapsed, it is out of hand.
+        // An expired permit is not returned either.
         self.sent_at = Some(now);
         may_send
     }
 
-    /// Frees the permit: the server did not run the call.
-    pub(super) fn not_run(self) {
+    /// Frees the permit after the server refused the call without executing it.
+    pub(super) fn release(self) {
         if let Some(sent_at) = self.sent_at {
             let mut holder = self.core.quotas.holder.borrow_mut();
             holder.not_run(&self.tenant, sent_at);
@@ -202,8 +204,8 @@
     }
 }
 
-/// Exchanges reports for permits for as long as the process lives. A gateway that holds none and
-/// wants none says nothing.
+/// Exchanges reports for permits until the process exits. Sends nothing while no permits are held
+/// or requested.
 pub(super) async fn exchange_permits(
     core: Rc<GatewayCore>,
     peers: Arc<Peers>,
@@ -212,11 +214,11 @@
     let mut leader = None;
     loop {
         let quotas = &core.quotas;
-        let wanted = quotas.wanted.notified();
+        let requested = quotas.requested.notified();
         if quotas.holder.borrow().is_idle() {
-            wanted.await;
+            requested.await;
         } else {
-            let _ = timeout(EXCHANGE_INTERVAL, wanted).await;
+            let _ = timeout(EXCHANGE_INTERVAL, requested).await;
         }
         let now = quotas.clock.now();
         let Some(report) = quotas.holder.borrow_mut().report(now) else {
@@ -228,7 +230,10 @@
             Some(controller) => {
                 peers.set_address(controller, addresses.of(controller, PeerPort::Controller));
                 let request = PeerRequest::Quota(report);
-                peers.request(controller, request, ANSWER_LIMIT).await.ok()
+                peers
+                    .request(controller, request, REPORT_TIMEOUT)
+                    .await
+                    .ok()
             }
             None => None,
         };
@@ -240,20 +245,20 @@
                 if is_granted {
                     quotas.answers.send_modify(|answers| *answers += 1);
                 } else {
-                    quotas.wanted.notify_one();
+                    quotas.requested.notify_one();
                 }
             }
             other => {
                 quotas.holder.borrow_mut().give_up(sequence);
                 leader = next_controller(&core, asked, other);
-                quotas.wanted.notify_one();
+                quotas.requested.notify_one();
             }
         }
-        tokio::time::sleep(SHORTEST_PAUSE).await;
+        tokio::time::sleep(MIN_REPORT_INTERVAL).await;
     }
 }
 
-/// Whom to ask next: the leader that a controller named, else the one after it.
+/// The next controller to ask: the leader named in the reply, otherwise the next in the list.
 fn next_controller(
     core: &GatewayCore,
     asked: Option<NodeId>,
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -1,4 +1,4 @@
-//! A gateway's listeners, its readiness, and its planned stop.
+//! The listeners, the readiness endpoint and the graceful shutdown of a gateway.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -16,14 +16,14 @@
 use super::access::{Caller, TenantTerms};
 use super::attempts::{Attempts, CallTimes, ChosenService};
 use super::call::{CallCodec, CallEnvelope, Credential};
-use super::core::{CoreParts, GatewayCore};
-use super::held::{Holding, watch_callers};
-use super::held_memory::HeldTerms;
+use super::core::{CoreConfig, GatewayCore};
 use super::load::share_load;
+use super::memory_budget::HeldTerms;
+use super::memory_tracker::{RequestMemory, monitor_connections};
 use super::policy::{Mechanism, Policy};
 use super::quota::exchange_permits;
 use super::refusal::Refusal;
-use super::schedule::{SchedulerClient, repeat_running, send_notes};
+use super::schedule::{SchedulerClient, resend_running_calls, send_notes};
 use super::stream::forward_by_kind;
 use crate::follower::{FleetFollower, FollowerKind};
 use crate::http::{BodyError, HttpTiming, connection_of, listen, serve};
@@ -32,72 +32,73 @@
 use crate::protocol::{FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerRequest};
 use crate::records::RecordClient;
 
-/// How long a gateway that stops still takes new connections: until all have seen that it isn't ready.
-const LEAVING_TIME: Duration = Duration::from_millis(3200);
-const STOP_CHECK: Duration = Duration::from_millis(50);
-/// How long a request that comes before the first routing table waits for it at most.
-const START_WAIT: Duration = Duration::from_millis(300);
-/// How often kept connections and what is known of servers are looked through.
-const TIDY_INTERVAL: Duration = Duration::from_secs(2);
+/// How long a draining gateway accepts new connections, so that load balancers can observe that it
+/// is not ready.
+const DRAIN_PERIOD: Duration = Duration::from_millis(3200);
+const DRAIN_POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum time that a request waits for the first routing table.
+const MAX_ROUTING_WAIT: Duration = Duration::from_millis(300);
+/// Interval of the cleanup of idle connections and server statistics.
+const CLEANUP_INTERVAL: Duration = Duration::from_secs(2);
 
-/// How a gateway runs.
+/// Settings of a gateway.
 pub struct GatewaySettings {
-    /// The machine.
+    /// The node that the gateway runs on.
     pub node: NodeId,
-    /// Where it stands.
+    /// The zone of the node.
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// Where callers connect.
+    /// Listen address for clients.
     pub callers: SocketAddr,
-    /// Where its readiness is asked for.
+    /// Listen address of the readiness endpoint.
     pub readiness: SocketAddr,
-    /// Machines with controllers.
+    /// Nodes that run controllers.
     pub seeds: Box<dyn Fn() -> Vec<NodeId> + Send + Sync>,
-    /// Where peers listen.
+    /// Addresses of peers.
     pub addresses: PeerAddresses,
-    /// Where what happens is counted.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// The words of callers and servers.
+    /// Codec for the wire format of clients and servers.
     pub codec: Box<dyn CallCodec>,
-    /// The mechanisms that it decides by.
+    /// The enabled mechanisms.
     pub policy: Policy,
-    /// What is asked of it where callers are tenants.
+    /// Key revocation and quota settings.
     pub tenants: TenantTerms,
-    /// How much it may hold for callers and servers that read slowly.
+    /// Memory limits for slow clients and servers.
     pub memory: HeldTerms,
 }
 
-/// A gateway doesn't start.
+/// Why a gateway failed to start.
 #[derive(Debug, Snafu)]
 pub enum GatewayError {
-    /// It can't speak to its peers.
+    /// The peer transport failed to start.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why not.
+        /// The cause.
         source: PeersError,
     },
-    /// An address can't be listened on.
+    /// An address could not be bound.
     #[snafu(display("can't listen on {address}: {source}"))]
     Listen {
         /// The address.
         address: SocketAddr,
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
 }
 
-struct NoRequests;
+struct IgnoringHandler;
 
-impl Handler<FleetProtocol> for NoRequests {
+impl Handler<FleetProtocol> for IgnoringHandler {
     fn on_message(&self, _: PeerIdentity, _: PeerMessage) {}
     fn on_request(&self, _: PeerIdentity, _: PeerRequest, _: ReplySender<FleetProtocol>) {}
 }
 
-/// Runs a gateway until `stop` comes and what was under way is finished, within `grace`.
+/// Runs a gateway until `stop` completes and in-flight requests have finished, within `grace`.
 ///
 /// # Errors
-/// [`GatewayError`] when an address can't be listened on.
+/// [`GatewayError`] if an address can't be bound or the peer transport can't start.
 pub async fn run(
     settings: GatewaySettings,
     stop: impl Future<Output = ()>,
@@ -107,7 +108,7 @@
         settings.node,
         settings.addresses,
         PeerPort::Gateway,
-        Arc::new(NoRequests),
+        Arc::new(IgnoringHandler),
     );
     let peers = Arc::new(started.context(PeersSnafu)?);
     let follower = FleetFollower::new(
@@ -128,7 +129,7 @@
     );
     let schedulers =
         SchedulerClient::new(peers.clone(), follower.clone(), settings.metrics.clone());
-    let core = GatewayCore::new(CoreParts {
+    let core = GatewayCore::new(CoreConfig {
         codec: settings.codec,
         follower,
         records,
@@ -142,11 +143,11 @@
     });
     if core.policy.uses(Mechanism::PoolScheduler) {
         actix_rt::spawn(send_notes(core.schedulers.clone()));
-        actix_rt::spawn(repeat_running(core.schedulers.clone()));
+        actix_rt::spawn(resend_running_calls(core.schedulers.clone()));
     }
     actix_rt::spawn(follow_fleet(core.clone()));
-    actix_rt::spawn(tidy(core.clone()));
-    actix_rt::spawn(watch_callers(core.ledger.clone()));
+    actix_rt::spawn(clean_up(core.clone()));
+    actix_rt::spawn(monitor_connections(core.memory_tracker.clone()));
     actix_rt::spawn(exchange_permits(
         core.clone(),
         peers.clone(),
@@ -166,7 +167,7 @@
     Ok(())
 }
 
-/// Takes changes of the fleet in as they come.
+/// Applies changes of the fleet state until the follower ends.
 async fn follow_fleet(core: Rc<GatewayCore>) {
     let mut watch = core.follower.watch();
     loop {
@@ -186,11 +187,11 @@
     }
 }
 
-async fn tidy(core: Rc<GatewayCore>) {
+async fn clean_up(core: Rc<GatewayCore>) {
     loop {
-        sleep(TIDY_INTERVAL).await;
-        core.servers.borrow_mut().tidy(core.clock.now());
-        core.tell_avoided();
+        sleep(CLEANUP_INTERVAL).await;
+        core.servers.borrow_mut().remove_expired(core.clock.now());
+        core.refresh_avoided();
         core.pool.retain(|id| core.servers.borrow().contains(id));
     }
 }
@@ -208,8 +209,8 @@
     .await;
 }
 
-/// Whether new callers are served well here: not while it stops, and not while it can't prove that
-/// the keys that it knows may still be used.
+/// Whether the gateway should receive new clients: it has a routing table, is not draining and can
+/// verify API keys.
 fn is_ready(core: &GatewayCore) -> bool {
     let Some(routing) = core.follower.view().routing else {
         return false;
@@ -223,7 +224,7 @@
     let limits = core.clone();
     let timing = move || timing_of(&limits_in_force(&limits));
     serve(listener, timing, move |request| {
-        answer(core.clone(), request)
+        handle_request(core.clone(), request)
     })
     .await;
 }
@@ -240,9 +241,10 @@
     routing.map_or_else(CallLimits::default, |routing| routing.table.limits)
 }
 
-async fn answer(core: Rc<GatewayCore>, request: Request) -> Response<BoxBody> {
-    core.under_way.set(core.under_way.get() + 1);
-    let counted = UnderWay(core.clone());
+async fn handle_request(core: Rc<GatewayCore>, request: Request) -> Response<BoxBody> {
+    core.in_flight_requests
+        .set(core.in_flight_requests.get() + 1);
+    let counted = RequestGuard(core.clone());
     let mut response = match admit(&core, request).await {
         Ok((attempts, tokens_per_event)) => forward_by_kind(attempts, tokens_per_event).await,
         Err(refusal) => refusal.response(),
@@ -252,26 +254,26 @@
             .head_mut()
             .set_connection_type(ConnectionType::Close);
     }
-    response.map_body(|_, body| BoxBody::new(counted.hold(body)))
+    response.map_body(|_, body| BoxBody::new(counted.guard(body)))
 }
 
-/// Reads a request and finds its route.
+/// Decodes and authenticates a request and selects its route and service.
 async fn admit(
     core: &Rc<GatewayCore>,
     request: Request,
 ) -> Result<(Attempts, Option<u64>), Refusal> {
     let arrived = Instant::now();
     let limits = limits_in_force(core);
-    let (call, holding) = read_call(core, request, &limits).await?;
+    let (call, memory) = read_call(core, request, &limits).await?;
     let wait = call
         .time_left
-        .map_or(START_WAIT, |left| START_WAIT.min(left / 4));
+        .map_or(MAX_ROUTING_WAIT, |left| MAX_ROUTING_WAIT.min(left / 4));
     let routing = routing_in_force(core, wait)
         .await
         .ok_or(Refusal::NotStarted)?;
     let route = routing.table.find(&call.host, &call.path);
     let Some(route) = route.cloned() else {
-        log::info!(event = "no_route", request = call.request_id.as_str(), host = call.host.as_str(), path = call.path.as_str(), version = routing.version; "no route fits");
+        log::info!(event = "no_route", request = call.request_id.as_str(), host = call.host.as_str(), path = call.path.as_str(), version = routing.version; "no route matches the request");
         return Err(Refusal::NoRoute);
     };
     wait_for_proof(core, &routing, wait).await;
@@ -290,8 +292,8 @@
     };
     let timeout = Duration::from_millis(route.timeout_ms);
     let deadline = arrived + call.time_left.map_or(timeout, |left| left.min(timeout));
-    if !core.is_there_at(deadline) {
-        log::info!(event = "leaving", request = call.request_id.as_str(); "the gateway ends before the call would");
+    if !core.is_running_at(deadline) {
+        log::info!(event = "leaving", request = call.request_id.as_str(); "request rejected: the gateway shuts down before its deadline");
         return Err(Refusal::Leaving);
     }
     let attempts = Attempts::new(
@@ -300,13 +302,13 @@
         route,
         service,
         CallTimes { arrived, deadline },
-        holding,
+        memory,
     );
     Ok((attempts, tokens_per_event))
 }
 
-/// Gives a gateway that was frozen, or has just started, time to hear that its table is the newest:
-/// one round between zones, if there is a leader.
+/// Waits briefly for fresh proof that the routing table is current, which a gateway lacks after a
+/// start or a long pause.
 async fn wait_for_proof(core: &GatewayCore, routing: &VersionedTable, wait: Duration) {
     let is_proven = core.access.is_proven(core.follower.proof_age());
     if routing.table.tenants.is_some() && !is_proven {
@@ -314,7 +316,7 @@
     }
 }
 
-/// Who a call is made for, by the table that its route is of.
+/// Authenticates a call against the routing table that its route comes from.
 fn identify(
     core: &GatewayCore,
     call: &CallEnvelope,
@@ -333,11 +335,11 @@
     });
     identified.inspect_err(|refusal| {
         let shows_key = matches!(call.credential, Credential::Key(_));
-        log::info!(event = "not_let_in", request = call.request_id.as_str(), route = route.name.as_str(), outcome = refusal.as_str(), shows_key, version = routing.version, proof_age_ms = proof_age.map(|age| age.as_millis() as u64); "the caller's key doesn't let it in");
+        log::info!(event = "not_let_in", request = call.request_id.as_str(), route = route.name.as_str(), outcome = refusal.as_str(), shows_key, version = routing.version, proof_age_ms = proof_age.map(|age| age.as_millis() as u64); "request rejected: the client's key could not be authenticated");
     })
 }
 
-/// The routing table in force. A gateway that has just started waits a little for its first one.
+/// The current routing table. Waits up to `wait` for the first one.
 async fn routing_in_force(core: &GatewayCore, wait: Duration) -> Option<Arc<VersionedTable>> {
     if let Some(routing) = core.follower.view().routing {
         return Some(routing);
@@ -352,7 +354,7 @@
     core: &Rc<GatewayCore>,
     mut request: Request,
     limits: &CallLimits,
-) -> Result<(CallEnvelope, Holding), Refusal> {
+) -> Result<(CallEnvelope, RequestMemory), Refusal> {
     let head_bytes: usize = request
         .headers()
         .iter()
@@ -361,19 +363,21 @@
         + request.uri().to_string().len();
     let read = core.codec.read_call(request.head());
     let request_id = read.as_ref().map_or("", |call| &call.request_id);
-    let holding = core.ledger.begin(connection_of(&request), request_id);
-    let body = holding
+    let memory = core
+        .memory_tracker
+        .begin(connection_of(&request), request_id);
+    let body = memory
         .read_body(&mut request, limits.max_body_bytes)
         .await?;
     if head_bytes > limits.max_header_bytes {
         return Err(Refusal::HeadTooLarge);
     }
     let mut call = read.map_err(|error| {
-        log::info!(event = "unreadable_call"; "{error}");
+        log::info!(event = "unreadable_call"; "request could not be decoded: {error}");
         Refusal::Unreadable
     })?;
     call.body = body;
-    Ok((call, holding))
+    Ok((call, memory))
 }
 
 impl From<BodyError> for Refusal {
@@ -385,31 +389,30 @@
     }
 }
 
-/// Counts a request for as long as its answer isn't finished.
-struct UnderWay(Rc<GatewayCore>);
+/// Counts a request as in flight until its response body is dropped.
+struct RequestGuard(Rc<GatewayCore>);
 
-impl UnderWay {
-    fn hold(self, body: BoxBody) -> HeldBody {
-        HeldBody {
-            body,
-            _counted: self,
-        }
+impl RequestGuard {
+    fn guard(self, body: BoxBody) -> GuardedBody {
+        GuardedBody { body, _guard: self }
     }
 }
 
-impl Drop for UnderWay {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        self.0.under_way.set(self.0.under_way.get() - 1);
+        self.0
+            .in_flight_requests
+            .set(self.0.in_flight_requests.get() - 1);
     }
 }
 
-/// A body that keeps its request counted.
-struct HeldBody {
+/// A response body that keeps its request counted as in flight.
+struct GuardedBody {
     body: BoxBody,
-    _counted: UnderWay,
+    _guard: RequestGuard,
 }
 
-impl actix_http::body::MessageBody for HeldBody {
+impl actix_http::body::MessageBody for GuardedBody {
     type Error = Box<dyn std::error::Error>;
 
     fn size(&self) -> actix_http::body::BodySize {
@@ -424,18 +427,18 @@
     }
 }
 
-/// Says that it isn't ready, goes on until all have seen it, and finishes what is under way.
+/// Reports not ready, keeps serving for the drain period and waits for in-flight requests.
 async fn drain(core: &Rc<GatewayCore>, grace: Duration) {
     let began = Instant::now();
-    core.ends_at.set(Some(began + grace));
-    log::info!(event = "draining", under_way = core.under_way.get(); "the gateway stops taking new callers");
+    core.shutdown_at.set(Some(began + grace));
+    log::info!(event = "draining", under_way = core.in_flight_requests.get(); "shutting down: draining requests");
     loop {
         let passed = began.elapsed();
-        let is_done = passed >= LEAVING_TIME && core.under_way.get() == 0;
+        let is_done = passed >= DRAIN_PERIOD && core.in_flight_requests.get() == 0;
         if is_done || passed >= grace {
             break;
         }
-        sleep(STOP_CHECK).await;
+        sleep(DRAIN_POLL_INTERVAL).await;
     }
-    log::info!(event = "drained", under_way = core.under_way.get(); "the gateway ends");
+    log::info!(event = "drained", under_way = core.in_flight_requests.get(); "drain finished");
 }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -1,8 +1,8 @@
-//! Calls that are answered by a series of events, passed on as they come.
+//! Forwards streaming calls, whose responses are server-sent events.
 //!
-//! Invariants: only whole events are passed on, each once and in order; a stream is taken up at
-//! another server only where its route allows it, and only after the connection to the one before
-//! was closed; the end of a kept turn is not shown before the turn is kept.
+//! Invariants: only complete events are forwarded, each once and in order; a stream is resumed at
+//! another server only if its route allows it and after the previous connection was closed; the end
+//! of a stored turn is forwarded only after the turn was stored.
 
 use std::time::Duration;
 
@@ -16,36 +16,35 @@
 use snafu::Snafu;
 use tokio::time::{Instant, timeout_at};
 
-use super::attempts::{Attempts, LEAST_TIME, Opened};
+use super::attempts::{Attempts, MIN_ATTEMPT_TIME, OpenedResponse};
 use super::events::{Event, EventSplitter};
-use super::held_memory::HeldKind;
-use super::plain::{answer, answer_head, forward, read_to_bound, refuse};
-use super::program::{TokenReservation, compose_body, keep_ms, reserve, turn_of};
+use super::memory_budget::BufferKind;
+use super::plain::{forward, read_up_to_limit, refuse, respond, response_head};
+use super::program::{TokenReservation, build_turn, compose_body, keep_ms, reserve};
 use super::refusal::Refusal;
-use super::servers::Report;
+use super::servers::CallReport;
 use super::upstream::UpstreamError;
 
-/// How long a resumable stream may be silent before it is taken up again.
-const SILENCE_BORNE: Duration = Duration::from_millis(1200);
-/// Largest event that is waited for, in bytes: many times what a model makes at once, and what its
-/// longest whole answer has.
-const LARGEST_EVENT: usize = 1024 * 1024;
-/// How long keeping a turn may take after its last event.
-const KEEP_LIMIT: Duration = Duration::from_millis(2500);
+/// How long a resumable stream may be silent before it is resumed at another server.
+const MAX_SILENCE: Duration = Duration::from_millis(1200);
+/// Maximum size of an event, in bytes.
+const MAX_EVENT_BYTES: usize = 1024 * 1024;
+/// Timeout for storing a turn after its last event.
+const STORE_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// A caller that took nothing for so long holds the stream back: longer than a busy gateway is late, and shorter
-/// than servers wait for whoever doesn't read.
-const HELD_BACK: Duration = Duration::from_secs(1);
-/// A read that takes so long shows that all that the server had sent before was read: many times the way between
-/// zones.
-const CAUGHT_UP: Duration = Duration::from_millis(100);
+/// Time without reading after which the client is considered stalled. Longer than delays of a busy
+/// gateway, shorter than the write timeout of servers.
+const CLIENT_STALL_TIME: Duration = Duration::from_secs(1);
+/// Duration of a read that shows that the server's backlog has been read; much longer than the
+/// latency between zones.
+const CAUGHT_UP_READ_TIME: Duration = Duration::from_millis(100);
 
-/// A stream can't be finished; its connection is closed so that it doesn't look whole.
+/// The stream was truncated; the connection is closed so that it does not appear complete.
 #[derive(Debug, Snafu)]
-#[snafu(display("the stream was broken off"))]
-struct BrokenOff;
+#[snafu(display("the stream was truncated"))]
+struct Truncated;
 
-/// Passes a streaming call on.
+/// Forwards a streaming call.
 pub(super) async fn forward_stream(
     mut attempts: Attempts,
     tokens_per_event: u64,
@@ -63,9 +62,9 @@
             &attempts.core,
             &attempts.call,
             attempts.caller.tenant_name(),
-            attempts.kept_within(),
+            attempts.storage_regions(),
             attempts.deadline,
-            &attempts.holding
+            &attempts.memory
         ),
     );
     let (mut reservation, composed) = match prepared {
@@ -73,9 +72,9 @@
         (_, Err(refusal)) | (Err(refusal), _) => return refuse(attempts, refusal),
     };
     attempts.body = composed.body;
-    attempts.held.extend(composed.hint);
+    attempts.cached_prompts.extend(composed.hint);
     if let Some(reservation) = &mut reservation {
-        attempts.held.extend(reservation.take_hints());
+        attempts.cached_prompts.extend(reservation.take_hints());
     }
     if reservation.as_ref().is_some_and(TokenReservation::is_first) {
         attempts.standing = Standing::New;
@@ -87,10 +86,10 @@
     };
     attempts.log.status = opened.head.status.as_u16();
     if opened.head.status != StatusCode::OK {
-        return whole(attempts, opened).await;
+        return forward_unstreamed(attempts, opened).await;
     }
     attempts.release_body();
-    let response = answer_head(&opened.head);
+    let response = response_head(&opened.head);
     let relay = EventRelay {
         attempts,
         opened: Some(opened),
@@ -102,69 +101,72 @@
         is_first: true,
         tokens_per_event,
         last_arrival: None,
-        events_here: 0,
-        given_at: None,
-        is_held_back: false,
+        server_events: 0,
+        delivered_at: None,
+        is_client_stalled: false,
     };
     let events = stream::unfold(Some(relay), |relay| async {
         let mut relay = relay?;
         match relay.next().await {
             Ok(Some(bytes)) => Some((Ok(bytes), Some(relay))),
             Ok(None) => None,
-            Err(broken) => {
-                // Lets the events before it reach the caller, who then need not get them again.
+            Err(truncated) => {
+                // Lets preceding events reach the client, so that it need not request them again.
                 tokio::task::yield_now().await;
-                Some((Err(broken), None))
+                Some((Err(truncated), None))
             }
         }
     });
     response.set_body(BoxBody::new(BodyStream::new(Box::pin(events))))
 }
 
-/// An answer of the server's own that is no stream, passed on as it is.
-async fn whole(mut attempts: Attempts, mut opened: Opened) -> Response<BoxBody> {
+/// Forwards a non-streaming response, such as an error.
+async fn forward_unstreamed(
+    mut attempts: Attempts,
+    mut opened: OpenedResponse,
+) -> Response<BoxBody> {
     attempts.release_body();
-    match read_to_bound(&mut opened, &attempts).await {
-        Ok(read) => answer(attempts, opened, read),
+    match read_up_to_limit(&mut opened, &attempts).await {
+        Ok(read) => respond(attempts, opened, read),
         Err(UpstreamError::TimedOut) => refuse(attempts, Refusal::TimedOut),
         Err(error) => {
             opened.end_call(CallEnd::Broken);
-            attempts.note_broken(&opened.server, &error);
+            attempts.record_failure(&opened.server, &error);
             refuse(attempts, Refusal::Broken)
         }
     }
 }
 
-/// A stream on its way from a server to a caller.
+/// A stream that is relayed from a server to a client.
 struct EventRelay {
     attempts: Attempts,
-    opened: Option<Opened>,
+    opened: Option<OpenedResponse>,
     reservation: Option<TokenReservation>,
-    /// Where the turn is kept, if it is.
+    /// The partition that stores the turn.
     partition: PartitionId,
     splitter: EventSplitter,
     last_event: Option<u64>,
     output: BytesMut,
     is_first: bool,
     tokens_per_event: u64,
-    /// When the server that has the stream sent events last, and how many it has sent.
+    /// When the current server last sent events, and how many it has sent.
     last_arrival: Option<Instant>,
-    events_here: u32,
-    /// When the caller's connection was given something last.
-    given_at: Option<Instant>,
-    /// Whether what is read now may have waited at the server for the caller.
-    is_held_back: bool,
+    server_events: u32,
+    /// When data was last passed to the client's connection.
+    delivered_at: Option<Instant>,
+    /// Whether the server may have been blocked by the slow client.
+    is_client_stalled: bool,
 }
 
 impl EventRelay {
-    /// The next bytes for the caller: all whole events that are there. None at the end.
-    async fn next(&mut self) -> Result<Option<Bytes>, BrokenOff> {
-        let taken_after = self.given_at.map(|given_at| given_at.elapsed());
-        self.is_held_back |= taken_after.is_some_and(|time| time > HELD_BACK);
+    /// All complete events received, or `None` at the end of the stream.
+    async fn next(&mut self) -> Result<Option<Bytes>, Truncated> {
+        let delivery_time = self.delivered_at.map(|delivered_at| delivered_at.elapsed());
+        self.is_client_stalled |= delivery_time.is_some_and(|time| time > CLIENT_STALL_TIME);
         loop {
             let ready = self.take_events();
             if !ready.is_empty() {
-                self.given_at = Some(Instant::now());
+                self.delivered_at = Some(Instant::now());
                 return Ok(Some(ready));
             }
             match self.read().await {
@@ -175,40 +177,40 @@
                 }
                 Ok(None) => {
                     let error = UpstreamError::Broken {
-                        reason: "the stream ends within an event".to_owned(),
+                        reason: "stream ended within an event".to_owned(),
                     };
-                    self.take_up(&error).await?;
+                    self.resume(&error).await?;
                 }
-                Err(error) => self.take_up(&error).await?,
+                Err(error) => self.resume(&error).await?,
             }
         }
     }
 
-    /// Takes bytes in. An event that never ends is not waited for.
-    fn push(&mut self, chunk: &[u8]) -> Result<(), BrokenOff> {
+    /// Adds received bytes. Aborts the stream if an event exceeds the size limit.
+    fn push(&mut self, chunk: &[u8]) -> Result<(), Truncated> {
         self.splitter.push(chunk);
-        self.note_held();
-        if self.splitter.partial() > LARGEST_EVENT {
+        self.update_memory();
+        if self.splitter.partial_len() > MAX_EVENT_BYTES {
             let error = UpstreamError::Broken {
-                reason: "an event is longer than is waited for".to_owned(),
+                reason: "event exceeds the size limit".to_owned(),
             };
             if let Some(mut opened) = self.opened.take() {
-                self.attempts.note_broken(&opened.server, &error);
+                self.attempts.record_failure(&opened.server, &error);
                 opened.end_call(CallEnd::Broken);
             }
-            return self.break_off();
+            return self.abort();
         }
         Ok(())
     }
 
-    fn note_held(&self) {
+    fn update_memory(&self) {
         let upstream = self.opened.as_ref();
         let read = upstream.map_or(0, |opened| opened.upstream.buffered());
-        let held = read + self.splitter.held() + self.output.len();
-        self.attempts.holding.set(HeldKind::Answer, held);
+        let buffered = read + self.splitter.capacity() + self.output.len();
+        self.attempts.memory.set(BufferKind::Response, buffered);
     }
 
-    /// Whole events that the caller lacks, with their bytes as they came.
+    /// The complete events that the client has not received, in their original bytes.
     fn take_events(&mut self) -> Bytes {
         let mut ready = BytesMut::new();
         let mut arrived = 0;
@@ -230,12 +232,12 @@
             }
             ready.extend_from_slice(&event.bytes);
         }
-        self.note_arrived(arrived);
+        self.record_arrived(arrived);
         ready.freeze()
     }
 
-    /// Notes how fast the server goes on.
-    fn note_arrived(&mut self, events: u32) {
+    /// Records the latency of events.
+    fn record_arrived(&mut self, events: u32) {
         let Some(opened) = &mut self.opened else {
             return;
         };
@@ -248,16 +250,16 @@
                 let tokens = u64::from(events) * self.tokens_per_event;
                 opened.first_tokens = u32::try_from(tokens).unwrap_or(u32::MAX);
                 let core = &self.attempts.core;
-                core.report(&opened.server, Report::Answered);
-                self.attempts.note_read(opened);
+                core.report(&opened.server, CallReport::Answered);
+                self.attempts.record_first_chunk(opened);
             }
             Some(before) => {
                 let each = now.duration_since(before) / events;
                 let core = &self.attempts.core;
-                core.report(&opened.server, Report::Paced(each));
+                core.report(&opened.server, CallReport::Latency(each));
             }
         }
-        self.events_here += events;
+        self.server_events += events;
     }
 
     fn is_new(&self, event: &Event) -> bool {
@@ -273,97 +275,97 @@
         };
         let mut limit = self.attempts.deadline;
         if self.attempts.route.resumable && !self.is_first {
-            limit = limit.min(Instant::now() + SILENCE_BORNE);
+            limit = limit.min(Instant::now() + MAX_SILENCE);
         }
         let began = Instant::now();
         let chunk = timeout_at(limit, opened.upstream.next_chunk()).await;
-        if began.elapsed() > CAUGHT_UP {
-            self.is_held_back = false;
+        if began.elapsed() > CAUGHT_UP_READ_TIME {
+            self.is_client_stalled = false;
         }
         let chunk = chunk.unwrap_or(Err(UpstreamError::TimedOut))?;
         self.is_first = false;
         Ok(chunk)
     }
 
-    /// Goes on behind the last event at a server, after the one before broke off.
-    async fn take_up(&mut self, error: &UpstreamError) -> Result<(), BrokenOff> {
+    /// Resumes the stream at another server after the last forwarded event.
+    async fn resume(&mut self, error: &UpstreamError) -> Result<(), Truncated> {
         self.splitter = EventSplitter::default();
         if let Some(mut opened) = self.opened.take() {
-            if self.is_to_blame() {
-                self.attempts.note_broken(&opened.server, error);
+            if self.is_server_fault() {
+                self.attempts.record_failure(&opened.server, error);
                 opened.end_call(CallEnd::Broken);
             } else {
-                self.attempts.note_lost(&opened.server, error);
+                self.attempts.record_truncated(&opened.server, error);
                 opened.end_call(CallEnd::Given);
             }
         }
-        if !self.attempts.may_repeat() {
-            return self.break_off();
+        if !self.attempts.may_retry() {
+            return self.abort();
         }
         self.attempts.log.resumed += 1;
         match self.attempts.open(self.last_event).await {
             Ok(opened) if opened.head.status == StatusCode::OK => {
                 self.opened = Some(opened);
                 self.last_arrival = None;
-                self.events_here = 0;
-                self.is_held_back = false;
+                self.server_events = 0;
+                self.is_client_stalled = false;
                 Ok(())
             }
             Ok(mut opened) => {
-                let report = Report::of_answer(opened.head.status);
+                let report = CallReport::of_answer(opened.head.status);
                 self.attempts.core.report(&opened.server, report);
-                opened.end_call(opened.end_without_stream());
-                self.break_off()
+                opened.end_call(opened.end_of_unstreamed());
+                self.abort()
             }
-            Err(_) => self.break_off(),
+            Err(_) => self.abort(),
         }
     }
 
-    /// Whether a break is the server's fault, also one that is silent for too long within a stream: not if the
-    /// call's time is over, or if it may have cut off the stream because the caller didn't read.
-    fn is_to_blame(&self) -> bool {
-        !self.is_held_back && self.attempts.time_left() >= LEAST_TIME
+    /// Whether a failure, including a silent stream, counts against the server: not if the deadline
+    /// has passed, or if the server may have aborted because the client did not read.
+    fn is_server_fault(&self) -> bool {
+        !self.is_client_stalled && self.attempts.time_left() >= MIN_ATTEMPT_TIME
     }
 
-    fn break_off(&mut self) -> Result<(), BrokenOff> {
+    fn abort(&mut self) -> Result<(), Truncated> {
         self.attempts.log.outcome = "broken_off";
-        Err(BrokenOff)
+        Err(Truncated)
     }
 
-    /// Keeps the turn, if its route keeps turns, and gives the connection back.
-    async fn finish(&mut self) -> Result<(), BrokenOff> {
+    /// Stores the turn if the route stores turns, and releases the connection.
+    async fn finish(&mut self) -> Result<(), Truncated> {
         let mut cached = None;
         if let Some(mut opened) = self.opened.take() {
-            let generated = u64::from(self.events_here) * self.tokens_per_event;
+            let generated = u64::from(self.server_events) * self.tokens_per_event;
             let generated = u32::try_from(generated).unwrap_or(u32::MAX);
-            let held = self.attempts.note_finished(&mut opened, generated);
-            // A kept turn brings the same hint.
+            let prompt = self.attempts.record_finished(&mut opened, generated);
+            // A stored turn carries the same hint.
             let is_kept = self.attempts.route.keeps_turns;
             if let Some(reservation) = self.reservation.as_mut().filter(|_| !is_kept) {
-                reservation.note_cached(held.clone());
+                reservation.set_cached(prompt.clone());
             }
-            cached = Some(held);
-            opened.upstream.finish();
+            cached = Some(prompt);
+            opened.upstream.release();
         }
         if self.attempts.route.keeps_turns {
             let output = self.output.split().freeze();
-            let turn = turn_of(
+            let turn = build_turn(
                 &self.attempts.call,
                 self.attempts.caller.tenant_name(),
                 output,
                 cached,
             );
             let keep_ms = keep_ms(&self.attempts.route);
-            let deadline = Instant::now() + KEEP_LIMIT;
-            let kept = self
+            let deadline = Instant::now() + STORE_TIMEOUT;
+            let stored = self
                 .attempts
                 .core
                 .records
                 .keep(self.partition, turn, keep_ms, deadline)
                 .await;
-            if kept.is_err() {
+            if stored.is_err() {
                 self.attempts.log.outcome = "turn_not_kept";
-                return Err(BrokenOff);
+                return Err(Truncated);
             }
         }
         self.attempts.log.outcome = "answered";
@@ -371,7 +373,7 @@
     }
 }
 
-/// Passes a call on in the way of its route's kind.
+/// Forwards a call according to the kind of its route.
 pub(super) async fn forward_by_kind(
     attempts: Attempts,
     tokens_per_event: Option<u64>,
--- a/crates/courseshed-edge/src/gateway/upstream.rs
+++ b/crates/courseshed-edge/src/gateway/upstream.rs
@@ -1,7 +1,7 @@
-//! Connections to servers: a pool of kept ones, and one request at a time on each.
+//! Connections to servers: a keep-alive pool, with one request at a time on each connection.
 //!
-//! Invariants: a request is written to one connection once; an answer whose id is another request's
-//! is read to its end and dropped; a connection on which anything is left over is not used again.
+//! Invariants: a request is written to a connection once; a response with the ID of another request
+//! is read to its end and dropped; a connection with unread data is not reused.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -23,44 +23,43 @@
 
 use crate::sockets;
 
-/// How long a connection may take to come about.
-const CONNECT_LIMIT: Duration = Duration::from_millis(300);
-/// How long a connection may rest if its server says nothing of it.
-const USUAL_REST: Duration = Duration::from_secs(4);
-/// How much earlier than its server a connection is given up.
-const REST_MARGIN: Duration = Duration::from_millis(800);
-/// Connections kept for one server.
-const KEPT_PER_SERVER: usize = 24;
-/// Longest body that a server's socket surely takes while the server reads nothing, in bytes: half of
-/// the smallest window that systems begin with. A longer one gets a fresh connection, which is known
-/// not to be silent, and may wait there for a server that reads slowly.
-const SURELY_TAKEN: usize = 32 * 1024;
-/// What is read from a server at a time, in bytes: many events of a stream, and little to hold for a
-/// caller that doesn't read.
+/// Timeout for establishing a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// Default keep-alive time if the server does not state one.
+const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
+/// How much earlier than the server's keep-alive timeout a connection is dropped.
+const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(800);
+/// Maximum number of idle connections per server.
+const MAX_IDLE_PER_SERVER: usize = 24;
+/// Largest body that socket buffers accept even if the server does not read, in bytes. Larger
+/// bodies use a new connection, which is known to be alive and configured to tolerate servers that
+/// read slowly.
+const MAX_SOCKET_BUFFERED_BODY: usize = 32 * 1024;
+/// Read size, in bytes; small, to limit the memory held for clients that do not read.
 const READ_BYTES: usize = 8 * 1024;
-/// Largest head of an answer.
-const MAX_ANSWER_HEAD: usize = 64 * 1024;
+/// Maximum size of a response head, in bytes.
+const MAX_RESPONSE_HEAD: usize = 64 * 1024;
 
-/// Why no answer came.
+/// Why no response was received.
 #[derive(Debug, Snafu)]
 pub enum UpstreamError {
-    /// Nothing was sent.
-    #[snafu(display("can't connect: {source}"))]
+    /// The request was not sent.
+    #[snafu(display("failed to connect: {source}"))]
     NotSent {
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// It was sent, at least in part, and the answer did not come whole.
+    /// At least part of the request was sent, and the response was incomplete.
     #[snafu(display("{reason}"))]
     Broken {
-        /// What happened.
+        /// The cause.
         reason: String,
     },
-    /// It was sent, and the server was silent for longer than answers take.
-    #[snafu(display("silent for longer than answers take"))]
+    /// The request was sent, and the server did not respond in the usual time.
+    #[snafu(display("no response within the usual response time"))]
     Silent,
-    /// It was sent, and the time was over.
-    #[snafu(display("the time is over"))]
+    /// The request was sent, and its deadline passed.
+    #[snafu(display("deadline exceeded"))]
     TimedOut,
 }
 
@@ -70,30 +69,30 @@
     }
 }
 
-/// Kept connections to servers, by address and life of the server.
+/// Idle connections, by server address; each is valid for one server instance.
 #[derive(Clone)]
 pub struct UpstreamPool {
-    kept: Rc<RefCell<HashMap<SocketAddr, Vec<Kept>>>>,
+    idle: Rc<RefCell<HashMap<SocketAddr, Vec<IdleConnection>>>>,
     config: ServiceConfig,
 }
 
-struct Kept {
+struct IdleConnection {
     server: String,
     stream: TcpStream,
     usable_until: Instant,
 }
 
 impl UpstreamPool {
-    /// An empty pool.
     #[must_use]
     pub fn new() -> Self {
         Self {
-            kept: Rc::default(),
+            idle: Rc::default(),
             config: ServiceConfig::default(),
         }
     }
 
-    /// A connection to a server for a body of so many bytes: a kept one that is still open, or a new one.
+    /// Returns an idle connection that is still open, or a new one. `body_bytes` is the size of the
+    /// request body.
     ///
     /// # Errors
     /// [`UpstreamError::NotSent`].
@@ -103,17 +102,17 @@
         address: SocketAddr,
         body_bytes: usize,
     ) -> Result<Upstream, UpstreamError> {
-        let is_patient = body_bytes > SURELY_TAKEN;
-        let kept = if is_patient {
+        let tolerates_slow_reads = body_bytes > MAX_SOCKET_BUFFERED_BODY;
+        let idle = if tolerates_slow_reads {
             None
         } else {
-            self.take_kept(server, address)
+            self.take_idle(server, address)
         };
         let began = Instant::now();
-        let is_new = kept.is_none();
-        let stream = match kept {
+        let is_new = idle.is_none();
+        let stream = match idle {
             Some(stream) => stream,
-            None => open(address, is_patient)
+            None => connect_to(address, tolerates_slow_reads)
                 .await
                 .map_err(|source| UpstreamError::NotSent { source })?,
         };
@@ -126,42 +125,49 @@
             payload: None,
             ends_with_connection: false,
             is_reusable: false,
-            is_patient,
-            connected_in: is_new.then(|| began.elapsed()),
-            rest: USUAL_REST,
+            tolerates_slow_reads,
+            connect_time: is_new.then(|| began.elapsed()),
+            keep_alive: DEFAULT_KEEP_ALIVE,
         })
     }
 
-    /// Closes the connections kept to servers that are not among those given, and those rested too long.
+    /// Closes idle connections to servers that are no longer listed, and those past their
+    /// keep-alive time.
     pub fn retain(&self, is_listed: impl Fn(&str) -> bool) {
         let now = Instant::now();
-        let mut kept = self.kept.borrow_mut();
-        for connections in kept.values_mut() {
-            connections.retain(|kept| kept.usable_until > now && is_listed(&kept.server));
+        let mut idle = self.idle.borrow_mut();
+        for connections in idle.values_mut() {
+            connections.retain(|idle| idle.usable_until > now && is_listed(&idle.server));
         }
-        kept.retain(|_, connections| !connections.is_empty());
+        idle.retain(|_, connections| !connections.is_empty());
     }
 
-    fn take_kept(&self, server: &str, address: SocketAddr) -> Option<TcpStream> {
-        let mut kept = self.kept.borrow_mut();
-        let connections = kept.get_mut(&address)?;
+    fn take_idle(&self, server: &str, address: SocketAddr) -> Option<TcpStream> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&address)?;
         while let Some(candidate) = connections.pop() {
             let is_current = candidate.server == server && candidate.usable_until > Instant::now();
-            if is_current && is_quiet(&candidate.stream) {
+            if is_current && is_open_and_drained(&candidate.stream) {
                 return Some(candidate.stream);
             }
         }
         None
     }
 
-    fn put_back(&self, server: &str, address: SocketAddr, stream: TcpStream, rest: Duration) {
-        let mut kept = self.kept.borrow_mut();
-        let connections = kept.entry(address).or_default();
-        if connections.len() < KEPT_PER_SERVER {
-            connections.push(Kept {
+    fn return_idle(
+        &self,
+        server: &str,
+        address: SocketAddr,
+        stream: TcpStream,
+        keep_alive: Duration,
+    ) {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.entry(address).or_default();
+        if connections.len() < MAX_IDLE_PER_SERVER {
+            connections.push(IdleConnection {
                 server: server.to_owned(),
                 stream,
-                usable_until: Instant::now() + rest,
+                usable_until: Instant::now() + keep_alive,
             });
         }
     }
@@ -173,24 +179,25 @@
     }
 }
 
-/// Whether nothing waits to be read: no late answer, and no end.
-fn is_quiet(stream: &TcpStream) -> bool {
+/// Whether the connection is open with nothing to read.
+fn is_open_and_drained(stream: &TcpStream) -> bool {
     let mut byte = [0];
     matches!(stream.try_read(&mut byte), Err(error) if error.kind() == io::ErrorKind::WouldBlock)
 }
 
-async fn open(address: SocketAddr, is_patient: bool) -> io::Result<TcpStream> {
-    let stream = timeout(CONNECT_LIMIT, TcpStream::connect(address))
+async fn connect_to(address: SocketAddr, tolerates_slow_reads: bool) -> io::Result<TcpStream> {
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(address))
         .await
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
     sockets::prepare(&stream)?;
-    if is_patient {
+    if tolerates_slow_reads {
         sockets::bear_slow_reader(&stream)?;
     }
     Ok(stream)
 }
 
-/// One connection with one request on it. Dropping it closes the connection, which cancels the request.
+/// A connection with a request in progress. Dropping it closes the connection, which cancels the
+/// request.
 pub struct Upstream {
     pool: UpstreamPool,
     server: String,
@@ -200,18 +207,19 @@
     payload: Option<ClientPayloadCodec>,
     ends_with_connection: bool,
     is_reusable: bool,
-    /// Whether it bears a server that reads slowly.
-    is_patient: bool,
-    /// How long the connection took to come about, if it is new.
-    connected_in: Option<Duration>,
-    rest: Duration,
+    /// Whether the connection tolerates a server that reads slowly.
+    tolerates_slow_reads: bool,
+    /// Connection setup time; `None` for a reused connection.
+    connect_time: Option<Duration>,
+    keep_alive: Duration,
 }
 
 impl Upstream {
-    /// Sends a request and reads the head of its answer. `is_ours` tells answers of other requests.
+    /// Sends a request and reads the head of its response. `is_ours` recognizes responses to other
+    /// requests.
     ///
     /// # Errors
-    /// [`UpstreamError`]: the request may have run.
+    /// [`UpstreamError`]; the request may have been executed.
     pub async fn exchange(
         &mut self,
         request: impl Buf,
@@ -219,8 +227,8 @@
         is_ours: impl Fn(&ResponseHead) -> bool,
     ) -> Result<ResponseHead, UpstreamError> {
         let exchange = async {
-            let was_sent_whole = self.send_until_answered(request).await?;
-            self.is_reusable = was_sent_whole;
+            let was_fully_sent = self.send_until_answered(request).await?;
+            self.is_reusable = was_fully_sent;
             loop {
                 let head = self.read_head().await?;
                 if head.status.is_informational() {
@@ -229,9 +237,11 @@
                 if is_ours(&head) {
                     return Ok(head);
                 }
-                log::warn!(event = "stray_answer", server = self.server.as_str(); "an answer of another request was dropped");
+                log::warn!(event = "stray_answer", server = self.server.as_str(); "dropped a response to another request");
                 if self.ends_with_connection {
-                    return Err(broken("the connection ends with another request's answer"));
+                    return Err(broken(
+                        "connection closed after a response to another request",
+                    ));
                 }
                 while self.next_chunk().await?.is_some() {}
             }
@@ -241,7 +251,8 @@
             .unwrap_or(Err(UpstreamError::TimedOut))
     }
 
-    /// Writes the request while watching for an early answer; false if one came before all was written.
+    /// Writes the request while watching for an early response. Returns false if one arrived before
+    /// the request was written completely.
     async fn send_until_answered(&mut self, mut request: impl Buf) -> Result<bool, UpstreamError> {
         let (mut reader, mut writer) = self.stream.split();
         let write = writer.write_all_buf(&mut request);
@@ -255,7 +266,7 @@
             }
             read = reader.read_buf(&mut early) => {
                 if read.map_err(broken)? == 0 {
-                    return Err(broken("closed before the request was sent"));
+                    return Err(broken("connection closed before the request was sent"));
                 }
                 self.buffer = early;
                 Ok(false)
@@ -268,25 +279,25 @@
         loop {
             let decoded = codec.decode(&mut self.buffer);
             if let Some(head) = decoded.map_err(|error: ParseError| broken(error))? {
-                self.note_head(&head, codec);
+                self.apply_head(&head, codec);
                 return Ok(head);
             }
-            if self.buffer.len() > MAX_ANSWER_HEAD {
-                return Err(broken("the head of the answer is too large"));
+            if self.buffer.len() > MAX_RESPONSE_HEAD {
+                return Err(broken("response head too large"));
             }
             if self.fill().await? == 0 {
-                return Err(broken("closed without an answer"));
+                return Err(broken("connection closed without a response"));
             }
         }
     }
 
-    fn note_head(&mut self, head: &ResponseHead, codec: ClientCodec) {
+    fn apply_head(&mut self, head: &ResponseHead, codec: ClientCodec) {
         let closes = header_has(head.headers().get(header::CONNECTION), "close");
         let message = codec.message_type();
         self.ends_with_connection = message == MessageType::Stream;
         self.is_reusable &= !closes && !self.ends_with_connection;
-        if let Some(rest) = rest_of(head) {
-            self.rest = rest;
+        if let Some(keep_alive) = keep_alive_of(head) {
+            self.keep_alive = keep_alive;
         }
         self.payload = match message {
             MessageType::None => None,
@@ -294,10 +305,10 @@
         };
     }
 
-    /// The next bytes of the body; none once it is whole.
+    /// The next bytes of the body; `None` at its end.
     ///
     /// # Errors
-    /// [`UpstreamError::Broken`] when the connection ends before the body does.
+    /// [`UpstreamError::Broken`] if the connection closes before the end of the body.
     pub async fn next_chunk(&mut self) -> Result<Option<Bytes>, UpstreamError> {
         loop {
             let Some(payload) = &mut self.payload else {
@@ -314,7 +325,7 @@
             }
             if self.fill().await? == 0 {
                 if !self.ends_with_connection {
-                    return Err(broken("closed in the middle of the answer"));
+                    return Err(broken("connection closed within the response body"));
                 }
                 self.payload = None;
                 return Ok(None);
@@ -322,29 +333,29 @@
         }
     }
 
-    /// How long the connection took to come about; none for one that was kept.
+    /// Connection setup time; `None` for a reused connection.
     #[must_use]
-    pub fn connected_in(&self) -> Option<Duration> {
-        self.connected_in
+    pub fn connect_time(&self) -> Option<Duration> {
+        self.connect_time
     }
 
-    /// Bytes that were read from the server and not yet given on.
+    /// Capacity of the read buffer, in bytes.
     #[must_use]
     pub fn buffered(&self) -> usize {
         self.buffer.capacity()
     }
 
-    /// Gives the connection back, if its answer was whole and nothing is left over.
-    pub fn finish(self) {
+    /// Returns the connection to the pool if the response was complete and nothing is left to read.
+    pub fn release(self) {
         if self.is_reusable && self.payload.is_none() && self.buffer.is_empty() {
-            if self.is_patient
+            if self.tolerates_slow_reads
                 && let Err(error) = sockets::prepare(&self.stream)
             {
-                log::info!(event = "not_kept", server = self.server.as_str(); "a connection can't be kept: {error}");
+                log::info!(event = "not_kept", server = self.server.as_str(); "connection not returned to the pool: {error}");
                 return;
             }
             self.pool
-                .put_back(&self.server, self.address, self.stream, self.rest);
+                .return_idle(&self.server, self.address, self.stream, self.keep_alive);
         }
     }
 
@@ -354,14 +365,14 @@
     }
 }
 
-/// How long the server lets a connection rest, less a margin.
-fn rest_of(head: &ResponseHead) -> Option<Duration> {
+/// The server's keep-alive timeout, less a margin.
+fn keep_alive_of(head: &ResponseHead) -> Option<Duration> {
     let value = head.headers().get("keep-alive")?.to_str().ok()?;
     let seconds = value.split(',').find_map(|part| {
         let number = part.trim().strip_prefix("timeout=").unwrap_or(part.trim());
         number.parse::<u64>().ok()
     })?;
-    Some(Duration::from_secs(seconds).saturating_sub(REST_MARGIN))
+    Some(Duration::from_secs(seconds).saturating_sub(KEEP_ALIVE_MARGIN))
 }
 
 fn header_has(value: Option<&HeaderValue>, token: &str) -> bool {
