--- a/crates/courseshed-edge/src/clock.rs
+++ b/crates/courseshed-edge/src/clock.rs
@@ -1,26 +1,26 @@
-//! The clocks of a process.
+//! Monotonic and wall clocks.
 
 use std::time::{Duration, Instant, SystemTime, UNIX_EPOCH};
 
-/// A steady clock that starts with the process, and the time of day.
+/// A monotonic clock that measures the time since it was started.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock(Instant);
 
 impl Clock {
-    /// Starts the clock.
+    /// Starts the clock at zero.
     #[must_use]
     pub fn start() -> Self {
         Self(Instant::now())
     }
 
-    /// Time since the start.
+    /// Time since [`Clock::start`].
     #[must_use]
     pub fn now(&self) -> Duration {
         self.0.elapsed()
     }
 }
 
-/// The time of day, in milliseconds since 1970.
+/// Unix time in milliseconds; zero if the system clock is before 1970.
 #[must_use]
 pub fn time_of_day_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
--- a/crates/courseshed-edge/src/http.rs
+++ b/crates/courseshed-edge/src/http.rs
@@ -1,4 +1,4 @@
-//! Serving HTTP/1.1 on one thread, through the library's own service for it.
+//! HTTP/1.1 server on a single thread, built on `actix_http`.
 
 use std::future::Future;
 use std::net::SocketAddr;
@@ -17,21 +17,21 @@
 
 use crate::watched::{Connection, WatchedStream};
 
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 const BACKLOG: u32 = 1024;
-/// What the library may hold of an answer that its caller doesn't take, in bytes, before it asks for
-/// no more: one read from a server, so that each is written in one go.
+/// Write buffer of the HTTP library per connection. Matches the size of one read from a server, so
+/// that each read is forwarded in one write.
 const WRITE_BUFFER_BYTES: usize = 8 * 1024;
-/// What the system may hold of it, in bytes, of which it uses twice as many with its own records:
-/// tens of seconds of a stream, and 3 MB/s of a whole answer over 10 ms there and back.
+/// Kernel send buffer per client connection, which bounds memory held for slow readers. The kernel
+/// doubles this value for its own bookkeeping.
 const SEND_BUFFER_BYTES: usize = 32 * 1024;
 
-/// How long callers are waited for.
+/// Timeouts for clients.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpTiming {
-    /// How long the head of a request may take to arrive.
+    /// Timeout for receiving a request head.
     pub head: Duration,
-    /// How long a connection may rest.
+    /// Keep-alive timeout of idle connections.
     pub idle: Duration,
 }
 
@@ -44,8 +44,8 @@
     }
 }
 
-/// Headers that concern one connection only, and are not passed on.
-const CONNECTION_HEADERS: [&str; 7] = [
+/// Hop-by-hop headers, which are not forwarded.
+const HOP_BY_HOP_HEADERS: [&str; 7] = [
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -55,27 +55,27 @@
     "upgrade",
 ];
 
-/// Whether a header concerns one connection only. The name is in lower case.
+/// Whether a header is hop-by-hop. The name must be in lower case.
 #[must_use]
 pub fn is_of_connection(name: &str) -> bool {
-    CONNECTION_HEADERS.contains(&name)
+    HOP_BY_HOP_HEADERS.contains(&name)
 }
 
-/// Why a body can't be had.
+/// Errors from reading a request body.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum BodyError {
-    /// It is larger than allowed.
+    /// The body exceeds the size limit.
     #[snafu(display("the body is too large"))]
     TooLarge,
-    /// It ends early, or isn't in the protocol.
+    /// The body is truncated or malformed.
     #[snafu(display("the body can't be read"))]
     Unreadable,
 }
 
-/// Listens on an address.
+/// Binds a listening socket.
 ///
 /// # Errors
-/// What the system says.
+/// Returns the error of the failed system call.
 pub fn listen(address: SocketAddr) -> std::io::Result<TcpListener> {
     let socket = tokio::net::TcpSocket::new_v4()?;
     socket.set_reuseaddr(true)?;
@@ -83,8 +83,8 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections and answers their requests until the process ends. `timing` is asked for
-/// each new connection.
+/// Accepts connections and serves their requests indefinitely. `timing` is evaluated for each new
+/// connection.
 pub async fn serve<Handle, Answer>(
     listener: TcpListener,
     timing: impl Fn() -> HttpTiming,
@@ -94,17 +94,17 @@
     Answer: Future<Output = Response<BoxBody>> + 'static,
 {
     let mut current = timing();
-    let mut service = build(current, handle.clone()).await;
+    let mut service = build_service(current, handle.clone()).await;
     loop {
         match listener.accept().await {
             Ok((stream, peer)) => {
-                let wanted = timing();
-                if wanted != current {
-                    current = wanted;
-                    service = build(current, handle.clone()).await;
+                let latest = timing();
+                if latest != current {
+                    current = latest;
+                    service = build_service(current, handle.clone()).await;
                 }
-                if let Err(error) = prepare(&stream) {
-                    log::info!(event = "not_prepared"; "a caller's connection can't be used: {error}");
+                if let Err(error) = configure_socket(&stream) {
+                    log::info!(event = "not_prepared"; "cannot set the options of a client connection: {error}");
                     continue;
                 }
                 let stream = WatchedStream::new(stream);
@@ -112,28 +112,28 @@
             }
             Err(error) => {
                 log::warn!(event = "accept_failed"; "cannot accept a connection: {error}");
-                sleep(ACCEPT_PAUSE).await;
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
 }
 
-fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+fn configure_socket(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     SockRef::from(stream).set_send_buffer_size(SEND_BUFFER_BYTES)
 }
 
-/// What is known of the connection that a request came on.
+/// The observed state of the connection that a request arrived on.
 #[must_use]
 pub fn connection_of(request: &Request) -> Rc<Connection> {
     let connection = request.conn_data::<Rc<Connection>>();
     connection.cloned().unwrap_or_default()
 }
 
-/// The body of a request.
+/// Reads the whole body of a request.
 ///
 /// # Errors
-/// [`BodyError`].
+/// Returns [`BodyError`] if the body is larger than `limit`, truncated or malformed.
 pub async fn read_body(request: &mut Request, limit: usize) -> Result<Bytes, BodyError> {
     let mut payload = request.take_payload();
     let mut body = BytesMut::new();
@@ -147,7 +147,7 @@
     Ok(body.freeze())
 }
 
-async fn build<Handle, Answer>(
+async fn build_service<Handle, Answer>(
     timing: HttpTiming,
     handle: Handle,
 ) -> impl Service<
@@ -173,5 +173,5 @@
         .h1(service)
         .new_service(())
         .await
-        .unwrap_or_else(|()| unreachable!("the service can always be made"))
+        .unwrap_or_else(|()| unreachable!("building the service is infallible"))
 }
--- a/crates/courseshed-edge/src/lib.rs
+++ b/crates/courseshed-edge/src/lib.rs
@@ -1,9 +1,9 @@
-//! Gateways, record stores and controllers for calls that are forwarded as they are.
+//! Gateways, record stores and controllers that forward calls unmodified.
 //!
-//! Three roles, one process each: a [`controller`] holds what the fleet agrees on, a store keeps
-//! [`records`] of programs, and a [`gateway`] takes callers' requests and passes them on. The words
-//! that callers, servers and operators use on the wire are left to a codec that the caller of this
-//! crate brings. See `docs/design/platform.md`.
+//! There are three roles, each running in its own process: a [`controller`] replicates the fleet's
+//! state, a store keeps [`records`] of programs, and a [`gateway`] forwards clients' requests to
+//! servers. Header names and message formats are supplied by the embedding program through a codec.
+//! See `docs/design/platform.md`.
 
 pub mod clock;
 mod control_client;
--- a/crates/courseshed-edge/src/peers.rs
+++ b/crates/courseshed-edge/src/peers.rs
@@ -1,4 +1,4 @@
-//! The transport of a node, with the timing of a fleet whose machines fall silent without notice.
+//! The transport between the nodes of the fleet.
 
 use std::io;
 use std::net::TcpListener;
@@ -15,7 +15,7 @@
 use crate::clock::time_of_day_ms;
 use crate::protocol::{FleetProtocol, PeerAddresses, PeerPort};
 
-/// A machine that is cut off says nothing, so every wait is short.
+/// Short timeouts: an unreachable machine sends no reset, so it is only detected by them.
 const TIMING: TransportTiming = TransportTiming {
     connect: Duration::from_millis(500),
     first_connect: Duration::from_millis(60),
@@ -30,21 +30,21 @@
 /// The transport of the fleet.
 pub type Peers = Transport<FleetProtocol>;
 
-/// A node can't speak to its peers.
+/// Errors from starting the transport.
 #[derive(Debug, Snafu)]
 pub enum PeersError {
-    /// The port can't be listened on.
-    #[snafu(display("can't listen for peers on {address}: {source}"))]
+    /// The port cannot be bound.
+    #[snafu(display("cannot listen for peers on {address}: {source}"))]
     Listen {
         /// The address.
         address: std::net::SocketAddr,
-        /// Why not.
+        /// The cause.
         source: io::Error,
     },
-    /// The transport doesn't start.
+    /// The transport failed to start.
     #[snafu(display("{source}"))]
     Start {
-        /// Why not.
+        /// The cause.
         source: StartError,
     },
 }
@@ -52,7 +52,7 @@
 /// Starts the transport of a role on a node.
 ///
 /// # Errors
-/// [`PeersError`] when the port can't be had.
+/// Returns [`PeersError`] if the port cannot be bound or the transport fails to start.
 pub fn start_peers(
     node: NodeId,
     addresses: PeerAddresses,
--- a/crates/courseshed-edge/src/signals.rs
+++ b/crates/courseshed-edge/src/signals.rs
@@ -1,14 +1,14 @@
-//! The signals of a planned stop and of changed settings.
+//! Shutdown and reload signals.
 
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
-/// Waits for SIGTERM or SIGINT.
+/// Completes on SIGTERM or SIGINT; never completes if the handlers cannot be installed.
 pub async fn stop_asked() {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
     ) else {
-        log::error!(event = "no_signals"; "signals can't be caught");
+        log::error!(event = "no_signals"; "cannot install signal handlers; SIGTERM and SIGINT will not shut down gracefully");
         return std::future::pending().await;
     };
     tokio::select! {
@@ -17,7 +17,7 @@
     }
 }
 
-/// Calls `reload` at every SIGHUP.
+/// Calls `reload` on every SIGHUP.
 pub async fn on_reload(reload: impl Fn()) {
     let hangup: Result<Signal, _> = signal(SignalKind::hangup());
     let Ok(mut hangup) = hangup else {
--- a/crates/courseshed-edge/src/sockets.rs
+++ b/crates/courseshed-edge/src/sockets.rs
@@ -1,7 +1,7 @@
-//! Settings of connections to servers, so that one that went silent is noticed.
+//! Socket options of connections to servers, for detecting half-open connections.
 //!
-//! A connection may go silent for good without a reset, while new ones work. Bytes that were sent
-//! and stay unacknowledged show it while a request is under way, keep-alive probes while it rests.
+//! A peer may stop responding without a reset while new connections to it still work. The TCP user
+//! timeout detects this while a request is in flight, keep-alive probes while a connection is idle.
 
 use std::io;
 use std::time::Duration;
@@ -9,34 +9,33 @@
 use socket2::{SockRef, TcpKeepalive};
 use tokio::net::TcpStream;
 
-/// How long sent bytes may stay unacknowledged: many times the way between zones, and a part of the
-/// time that the shortest requests have.
-const UNACKNOWLEDGED_LIMIT: Duration = Duration::from_millis(900);
-/// How long a connection rests before it is probed: most are used again sooner, so that probes cost
-/// next to nothing (worked out: two packets of 40 bytes each 3 s).
-const REST_BEFORE_PROBE: Duration = Duration::from_secs(3);
-/// Pause between probes that aren't answered. The limit for unacknowledged bytes ends them.
-const PROBE_INTERVAL: Duration = Duration::from_secs(1);
+/// How long sent bytes may stay unacknowledged before the connection is closed. Well above the
+/// round-trip time between zones and below the deadline of the shortest requests.
+const USER_TIMEOUT: Duration = Duration::from_millis(900);
+/// Idle time before the first keep-alive probe.
+const KEEPALIVE_IDLE: Duration = Duration::from_secs(3);
+/// Interval between unanswered keep-alive probes; the user timeout ends the sequence.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Has a fresh connection bear a server that reads slowly: one that reads nothing for a while leaves
-/// bytes unacknowledged as well, and only the request's own deadline ends the wait for it.
+/// Clears the TCP user timeout of a connection. A server that reads slowly also leaves bytes
+/// unacknowledged, and must only be bounded by the request's deadline.
 ///
 /// # Errors
-/// What the system says.
+/// Returns the error of the failed socket option.
 pub fn bear_slow_reader(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(None)
 }
 
-/// Sets a fresh connection to a server up.
+/// Sets the options of a new connection to a server.
 ///
 /// # Errors
-/// What the system says.
+/// Returns the error of the failed socket option.
 pub fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
-    socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_LIMIT))?;
+    socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
     let probes = TcpKeepalive::new()
-        .with_time(REST_BEFORE_PROBE)
-        .with_interval(PROBE_INTERVAL);
+        .with_time(KEEPALIVE_IDLE)
+        .with_interval(KEEPALIVE_INTERVAL);
     socket.set_tcp_keepalive(&probes)
 }
--- a/crates/courseshed-edge/src/watched.rs
+++ b/crates/courseshed-edge/src/watched.rs
@@ -1,7 +1,8 @@
-//! A caller's connection that can be looked at and cut off from outside the HTTP library.
+//! Client connections whose write backlog can be observed, and which can be aborted, from outside
+//! the HTTP library.
 //!
-//! The library writes what it holds whenever the connection takes something, and keeps the rest.
-//! This stands between the two and notes what was not taken, and since when.
+//! [`WatchedStream`] wraps the socket below the HTTP library and records how many bytes the socket
+//! did not accept, and since when.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -14,67 +15,67 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 
-/// What is known of a caller's connection.
+/// Observed state of a client connection.
 #[derive(Debug, Default)]
 pub struct Connection {
     unwritten: Cell<usize>,
     blocked_since: Cell<Option<Instant>>,
     waker: RefCell<Option<Waker>>,
-    is_cut: Cell<bool>,
+    is_aborted: Cell<bool>,
     is_closed: Cell<bool>,
 }
 
 impl Connection {
-    /// Bytes that the library wants to write and the connection didn't take.
+    /// Bytes passed to the last write that the socket did not accept.
     #[must_use]
     pub fn unwritten(&self) -> usize {
         self.unwritten.get()
     }
 
-    /// How long it has taken nothing; none while nothing waits.
+    /// How long writes have been blocked; none if the last write succeeded.
     #[must_use]
     pub fn blocked_for(&self) -> Option<Duration> {
         self.blocked_since.get().map(|since| since.elapsed())
     }
 
-    /// Whether it is closed.
+    /// Whether the connection was closed.
     #[must_use]
     pub fn is_closed(&self) -> bool {
         self.is_closed.get()
     }
 
-    /// Has it closed as soon as its task runs, without waiting for what isn't taken.
+    /// Aborts the connection the next time its task runs, discarding unwritten bytes.
     pub fn cut(&self) {
-        self.is_cut.set(true);
+        self.is_aborted.set(true);
         if let Some(waker) = self.waker.take() {
             waker.wake();
         }
     }
 
-    fn note_waiting(&self, waker: &Waker) {
+    fn set_waker(&self, waker: &Waker) {
         self.waker.replace(Some(waker.clone()));
     }
 
-    fn note_written(&self, wanted: usize, written: usize) {
-        self.unwritten.set(wanted - written);
+    fn record_write(&self, requested: usize, written: usize) {
+        self.unwritten.set(requested - written);
         self.blocked_since.set(None);
     }
 
-    fn note_blocked(&self, wanted: usize) {
-        self.unwritten.set(wanted);
+    fn record_blocked(&self, requested: usize) {
+        self.unwritten.set(requested);
         let since = self.blocked_since.get().unwrap_or_else(Instant::now);
         self.blocked_since.set(Some(since));
     }
 
-    fn check(&self) -> io::Result<()> {
-        if self.is_cut.get() {
+    fn ensure_not_aborted(&self) -> io::Result<()> {
+        if self.is_aborted.get() {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
     }
 }
 
-/// A caller's connection, with what is known of it.
+/// A client connection with its observed state.
 #[derive(Debug)]
 pub struct WatchedStream {
     stream: TcpStream,
@@ -82,7 +83,7 @@
 }
 
 impl WatchedStream {
-    /// Watches a connection.
+    /// Wraps a connection.
     #[must_use]
     pub fn new(stream: TcpStream) -> Self {
         Self {
@@ -91,7 +92,7 @@
         }
     }
 
-    /// What is known of it.
+    /// Returns the observed state.
     #[must_use]
     pub fn connection(&self) -> Rc<Connection> {
         self.connection.clone()
@@ -101,11 +102,11 @@
 impl Drop for WatchedStream {
     fn drop(&mut self) {
         self.connection.is_closed.set(true);
-        if self.connection.is_cut.get() {
-            // Otherwise the system keeps what the caller doesn't take.
+        if self.connection.is_aborted.get() {
+            // Reset the connection, or the kernel would keep the unsent bytes.
             let reset = SockRef::from(&self.stream).set_linger(Some(Duration::ZERO));
             if let Err(error) = reset {
-                log::warn!(event = "not_reset"; "a connection that was cut off lingers: {error}");
+                log::warn!(event = "not_reset"; "cannot reset an aborted client connection: {error}");
             }
         }
     }
@@ -117,10 +118,10 @@
         context: &mut Context<'_>,
         buffer: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.connection.check()?;
+        self.connection.ensure_not_aborted()?;
         let read = Pin::new(&mut self.stream).poll_read(context, buffer);
         if read.is_pending() {
-            self.connection.note_waiting(context.waker());
+            self.connection.set_waker(context.waker());
         }
         read
     }
@@ -132,14 +133,14 @@
         context: &mut Context<'_>,
         bytes: &[u8],
     ) -> Poll<io::Result<usize>> {
-        self.connection.check()?;
+        self.connection.ensure_not_aborted()?;
         let written = Pin::new(&mut self.stream).poll_write(context, bytes);
         if written.is_pending() {
-            self.connection.note_waiting(context.waker());
-            self.connection.note_blocked(bytes.len());
+            self.connection.set_waker(context.waker());
+            self.connection.record_blocked(bytes.len());
         }
         let written = ready!(written)?;
-        self.connection.note_written(bytes.len(), written);
+        self.connection.record_write(bytes.len(), written);
         Poll::Ready(Ok(written))
     }
 
