--- a/crates/courseshed-edge/src/followed_controllers.rs
+++ b/crates/courseshed-edge/src/followed_controllers.rs
@@ -1,27 +1,27 @@
-//! The controllers that a node knows, the one that it follows first. Pure.
+//! The known controllers, ordered by preference. Pure.
 
 use std::collections::VecDeque;
 
 use courseshed_types::NodeId;
 
-/// The controllers that a node knows, and the order that it made of them last.
+/// The known controllers, starting with the one being followed, and the last computed preference order.
 #[derive(Debug, Default)]
 pub(crate) struct FollowedControllers {
     candidates: VecDeque<NodeId>,
     order: ControllerOrder,
 }
 
-/// In which order a node would follow controllers.
+/// A preference order of controllers.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(crate) struct ControllerOrder {
-    /// The controllers, the one to follow first.
+    /// The controllers, most preferred first.
     pub nodes: Vec<NodeId>,
-    /// Whether all of them could be followed when the order was made.
-    pub is_whole: bool,
+    /// Whether all of them were reachable and up to date when the order was computed.
+    pub is_complete: bool,
 }
 
 impl FollowedControllers {
-    /// The controllers; begins with those given if none is known.
+    /// Returns the known controllers, initialised from `seeds` if there are none.
     pub(crate) fn all(&mut self, seeds: impl FnOnce() -> Vec<NodeId>) -> Vec<NodeId> {
         if self.candidates.is_empty() {
             self.candidates.extend(seeds());
@@ -29,10 +29,10 @@
         self.candidates.iter().copied().collect()
     }
 
-    /// Remembers the controllers that one of them named, keeping that one first.
-    pub(crate) fn learn(&mut self, first: NodeId, named: Vec<NodeId>) {
-        self.candidates.retain(|node| named.contains(node));
-        for node in named {
+    /// Replaces the known controllers by those that `first` reported, and moves `first` to the front.
+    pub(crate) fn update(&mut self, first: NodeId, reported: Vec<NodeId>) {
+        self.candidates.retain(|node| reported.contains(node));
+        for node in reported {
             if !self.candidates.contains(&node) {
                 self.candidates.push_back(node);
             }
@@ -41,8 +41,9 @@
         self.candidates.push_front(first);
     }
 
-    /// Puts a controller last; after a whole round in vain, goes on with the seeds that aren't known.
-    pub(crate) fn pass_over(
+    /// Moves a controller that failed to the end. After a full round of failures, adds unknown seeds at
+    /// the front.
+    pub(crate) fn move_to_end(
         &mut self,
         controller: NodeId,
         failures: usize,
@@ -63,19 +64,20 @@
         }
     }
 
-    /// Follows controllers in an order from now on; whether it is another one than before.
-    pub(crate) fn put_in_order(&mut self, order: ControllerOrder) -> bool {
-        let is_new = self.order.nodes != order.nodes;
+    /// Sets the preference order; returns whether it changed.
+    pub(crate) fn set_order(&mut self, order: ControllerOrder) -> bool {
+        let has_changed = self.order.nodes != order.nodes;
         self.candidates = order.nodes.iter().copied().collect();
         self.order = order;
-        is_new
+        has_changed
     }
 
-    /// Whether the first is the one that this node would choose, had it the choice of all.
-    pub(crate) fn follows_first_choice(&self) -> bool {
+    /// Whether the followed controller is the preferred one, with an order computed from all known
+    /// controllers.
+    pub(crate) fn follows_preferred(&self) -> bool {
         let ordered = &self.order.nodes;
         let is_same = self.candidates.len() == ordered.len()
             && self.candidates.iter().all(|node| ordered.contains(node));
-        is_same && self.order.is_whole && self.candidates.front() == ordered.first()
+        is_same && self.order.is_complete && self.candidates.front() == ordered.first()
     }
 }
--- a/crates/courseshed-edge/src/follower.rs
+++ b/crates/courseshed-edge/src/follower.rs
@@ -1,6 +1,6 @@
-//! Following the fleet's state: a node asks one controller after another for what it lacks.
+//! Replicates the fleet's state to a node by long-polling one controller at a time.
 //!
-//! Invariant: within one life of a process the routing table's version never falls, whichever
+//! Invariant: while the process runs, the version of the routing table never decreases, whichever
 //! controller answers.
 
 use std::collections::BTreeMap;
@@ -25,49 +25,49 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
 
-/// How long a controller holds a request when there is nothing new.
-const HOLD: Duration = Duration::from_millis(600);
-/// Requests that must fit into the time within which a key must be out of use.
-const HOLDS_A_REVOCATION: u32 = 6;
-/// How much longer than that an answer may take. Lists are told in parts, so that it needs no more on a link that
-/// many share.
-const ANSWER_SLACK: Duration = Duration::from_millis(250);
-/// An answer no older than this means that controllers can be reached: two requests that are held.
-const HEARD_LATELY: Duration = Duration::from_millis(1500);
-/// How often a node that follows another controller than it would choose looks whether that one serves again: a cut
-/// drives all followers to the controllers that are left, and what these send would stay theirs.
-const RETURN_CHECK: Duration = Duration::from_secs(5);
-/// Pause after a controller that could not help.
-const PAUSE: Duration = Duration::from_millis(60);
-/// The longest pause between questions to a controller that has nothing to tell yet.
-const LONGEST_PAUSE: Duration = Duration::from_millis(500);
-/// How long controllers are waited for to tell how far they are: longer than a way between regions and back (60
-/// ms), and little of the second or two that a node takes to serve after a loss of power.
-const ORDER_LIMIT: Duration = Duration::from_millis(100);
-/// How long a node that knows nothing yet asks the same controllers before it looks for others.
-const FIRST_ROUND: Duration = Duration::from_millis(1500);
+/// Longest time for which a controller holds a request when there is nothing new.
+const POLL_TIMEOUT: Duration = Duration::from_millis(600);
+/// Minimum number of polls within the revocation bound.
+const MIN_POLLS_PER_REVOCATION: u32 = 6;
+/// Time allowed for a response beyond the poll timeout. Large lists are sent in parts, so that this also
+/// suffices on a shared link.
+const RESPONSE_MARGIN: Duration = Duration::from_millis(250);
+/// Controllers count as reachable for this long after a response. Covers two polls.
+const CONTACT_WINDOW: Duration = Duration::from_millis(1500);
+/// How often a node that does not follow its preferred controller checks whether that one is available again.
+/// Without this, the load would stay unbalanced after a network partition.
+const PREFERRED_CHECK_INTERVAL: Duration = Duration::from_secs(5);
+/// Delay after a failed or empty response.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Upper bound of the backoff while a controller has no state yet.
+const MAX_RETRY_DELAY: Duration = Duration::from_millis(500);
+/// Timeout for measuring the response times of controllers: above the round-trip time between regions, and short
+/// compared with the time that a node takes to start.
+const ORDERING_TIMEOUT: Duration = Duration::from_millis(100);
+/// How long a node without state polls a set of controllers before it starts over with those known by then.
+const FIRST_ROUND_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// What a node knows of the fleet.
+/// A node's view of the fleet.
 #[derive(Clone, Debug, Default)]
 pub struct FleetView {
     /// The routing table in force; none before the first.
     pub routing: Option<Arc<VersionedTable>>,
     /// The servers.
     pub servers: Arc<ServerList>,
-    /// Where records are kept.
+    /// The partitions of the records and their replicas.
     pub records: Arc<PartitionMap>,
-    /// Zones whose servers get nothing.
+    /// Zones whose servers receive no new calls.
     pub evacuated: Arc<EvacuatedZones>,
 }
 
-/// What a follower is, and so what it must know.
+/// The kind of a follower, which determines what state it needs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FollowerKind {
-    /// A store with records, which controllers must hear.
+    /// A record store. Its polls also serve as heartbeats.
     Store,
     /// A gateway.
     Gateway {
-        /// How soon a key must be out of use everywhere; none if that isn't asked for.
+        /// Bound within which a revoked key must be rejected everywhere; none if unbounded.
         revocation: Option<Duration>,
     },
 }
@@ -82,8 +82,8 @@
         )
     }
 
-    /// What a follower that knows nothing says that it knows: what it has no use for.
-    fn known_first(self) -> Known {
+    /// The initial value of `known`, which marks state that this kind does not need as known.
+    fn initial_known(self) -> Known {
         match self {
             Self::Store => Known {
                 servers: Known::EVERYTHING.servers,
@@ -98,26 +98,25 @@
         }
     }
 
-    /// How long a controller holds a request: so long that several fit into the time within which
-    /// a proof must be renewed.
-    fn hold(self) -> Duration {
+    /// How long a controller may hold a request, so that several polls fit into the revocation bound.
+    fn poll_timeout(self) -> Duration {
         match self {
             Self::Gateway {
                 revocation: Some(revocation),
-            } => HOLD.min(revocation / HOLDS_A_REVOCATION),
-            _ => HOLD,
+            } => POLL_TIMEOUT.min(revocation / MIN_POLLS_PER_REVOCATION),
+            _ => POLL_TIMEOUT,
         }
     }
 }
 
-/// What a controller answered.
-struct ControllerAnswer {
+/// The response of a controller.
+struct ControllerResponse {
     update: FleetUpdate,
-    /// Whether nothing is newer, as far as it can be known.
-    is_sure: bool,
+    /// Whether the controller is up to date, so that an empty update means that nothing changed.
+    is_up_to_date: bool,
 }
 
-/// Follows the fleet's state and shows the newest that is known.
+/// Keeps a [`FleetView`] up to date.
 pub struct FleetFollower {
     peers: Arc<Peers>,
     addresses: PeerAddresses,
@@ -127,16 +126,16 @@
     view: watch::Sender<FleetView>,
     assembler: Mutex<TableAssembler>,
     clock: Clock,
-    proofs_kept: Mutex<ProofKeeper>,
-    /// Changes with each proof.
+    proof_keeper: Mutex<ProofKeeper>,
+    /// Notified on each new proof.
     proofs: watch::Sender<()>,
-    /// When any controller answered last.
+    /// Time of the last response of any controller.
     answered_at: Mutex<Option<Instant>>,
 }
 
 impl FleetFollower {
-    /// A follower that begins with the controllers that `seeds` names, and asks it again when none
-    /// of those known answers.
+    /// Creates a follower. `seeds` returns the initial controllers, and is called again when no known
+    /// controller answers.
     pub fn new(
         peers: Arc<Peers>,
         addresses: PeerAddresses,
@@ -152,46 +151,46 @@
             view: watch::channel(FleetView::default()).0,
             assembler: Mutex::default(),
             clock: Clock::start(),
-            proofs_kept: Mutex::default(),
+            proof_keeper: Mutex::default(),
             proofs: watch::channel(()).0,
             answered_at: Mutex::new(None),
         })
     }
 
-    /// How long ago the routing table shown was proven to be in force; none if it never was.
+    /// Time since the current routing table was last proven to be in force; none if it never was.
     #[must_use]
     pub fn proof_age(&self) -> Option<Duration> {
         let held = self.view.borrow().routing.as_ref().map(|held| held.version);
-        self.proofs_kept.lock().age(self.clock.now(), held)
+        self.proof_keeper.lock().age(self.clock.now(), held)
     }
 
-    /// The newest that is known, and its changes.
+    /// Subscribes to the view.
     #[must_use]
     pub fn watch(&self) -> watch::Receiver<FleetView> {
         self.view.subscribe()
     }
 
-    /// Waits for the next proof of the routing table, for a time at most.
+    /// Waits for the next proof of the routing table, up to a time limit.
     pub async fn wait_for_proof(&self, limit: Duration) {
         let mut proofs = self.proofs.subscribe();
-        // Whether one came shows in its age.
+        // Callers check the age of the proof, so a timeout needs no report.
         let _ = timeout(limit, proofs.changed()).await;
     }
 
-    /// Whether a controller answered lately, so that what is lacking is lacking at all gateways.
+    /// Whether a controller answered recently. If so, state missing here is missing at all gateways.
     #[must_use]
     pub fn hears_controllers(&self) -> bool {
         let answered_at = *self.answered_at.lock();
-        answered_at.is_some_and(|at| at.elapsed() < HEARD_LATELY)
+        answered_at.is_some_and(|at| at.elapsed() < CONTACT_WINDOW)
     }
 
-    /// The newest that is known.
+    /// Returns the current view.
     #[must_use]
     pub fn view(&self) -> FleetView {
         self.view.borrow().clone()
     }
 
-    /// The controllers that are known, the one that answered last first.
+    /// Returns the known controllers, starting with the one that answered last.
     #[must_use]
     pub fn controllers(&self) -> Vec<NodeId> {
         let nodes = self.controllers.lock().all(&self.seeds);
@@ -202,86 +201,85 @@
         nodes
     }
 
-    /// Follows until the process ends.
+    /// Polls controllers indefinitely.
     pub async fn run(self: Arc<Self>) {
-        let mut known = self.first_news().await;
+        let mut known = self.load_initial_state().await;
         let mut failures = 0;
-        let mut next_check = Instant::now() + return_pause();
+        let mut next_check = Instant::now() + jittered_check_interval();
         loop {
             if next_check <= Instant::now() {
-                next_check = Instant::now() + return_pause();
-                let is_first_choice = self.controllers.lock().follows_first_choice();
-                if !is_first_choice {
+                next_check = Instant::now() + jittered_check_interval();
+                let is_preferred = self.controllers.lock().follows_preferred();
+                if !is_preferred {
                     self.order_controllers().await;
                 }
             }
             let controllers = self.controllers();
             let Some(controller) = controllers.first().copied() else {
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
                 continue;
             };
-            if let Some(update) = self.ask(controller, known).await {
+            if let Some(update) = self.poll(controller, known).await {
                 if failures > 0 {
-                    log::info!(event = "controller_regained", controller:% = controller, failures; "following a controller again");
+                    log::info!(event = "controller_regained", controller:% = controller, failures; "following a controller after failures");
                 }
                 failures = 0;
-                known = self.take_in(controller, known, update);
+                known = self.apply_update(controller, known, update);
                 continue;
             }
             failures += 1;
             if failures == 1 {
-                log::warn!(event = "controller_lost", controller:% = controller; "a controller does not answer, or may lack what is committed");
+                log::warn!(event = "controller_lost", controller:% = controller; "a controller does not answer or is not up to date; trying the next one");
             }
             self.controllers
                 .lock()
-                .pass_over(controller, failures, &self.seeds);
-            sleep(PAUSE).await;
+                .move_to_end(controller, failures, &self.seeds);
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Looks for a controller with something to begin with, and takes it from that one: after a loss of
-    /// power some may not be there yet, and any state that was in force once serves until a leader is found.
-    /// All are asked whether they have something, and only one for it: with 10,000 servers it is 1.6 MB
-    /// in some fifty parts, half a second of a gateway's link of 30 Mbit/s.
-    async fn first_news(&self) -> Known {
+    /// Loads the initial state from any controller that has one, even if it is not up to date, so that a node can
+    /// serve before a leader is elected. All controllers are polled for whether they have state, but only one
+    /// transfers it, since the state of a large fleet saturates a gateway's link.
+    async fn load_initial_state(&self) -> Known {
         loop {
             let controllers = self.controllers();
-            let mut asked: FuturesUnordered<_> = controllers
+            let mut polls: FuturesUnordered<_> = controllers
                 .into_iter()
-                .map(|controller| self.ask_until_any(controller))
+                .map(|controller| self.poll_until_nonempty(controller))
                 .collect();
-            let found = timeout(FIRST_ROUND, asked.next()).await;
-            drop(asked);
+            let found = timeout(FIRST_ROUND_TIMEOUT, polls.next()).await;
+            drop(polls);
             if matches!(found, Ok(Some(_))) {
                 self.order_controllers().await;
-                let known = self.kind.known_first();
+                let known = self.kind.initial_known();
                 for controller in self.controllers() {
-                    if let Some(update) = self.ask(controller, known).await
+                    if let Some(update) = self.poll(controller, known).await
                         && !update.is_empty()
                     {
-                        return self.take_in(controller, known, update);
+                        return self.apply_update(controller, known, update);
                     }
                 }
             }
-            sleep(PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    /// Asks all known controllers how far they are, and puts them in the order in which this node follows them.
+    /// Measures the response times of all known controllers and sorts them by preference.
     async fn order_controllers(&self) {
         let began = Instant::now();
         let controllers = self.controllers();
-        let mut asked: FuturesUnordered<_> = controllers
+        let mut polls: FuturesUnordered<_> = controllers
             .iter()
             .map(|node| async move {
                 let answer = self
-                    .exchange(*node, Known::EVERYTHING, Duration::ZERO)
+                    .send_follow(*node, Known::EVERYTHING, Duration::ZERO)
                     .await?;
-                answer.is_sure.then(|| (*node, began.elapsed()))
+                answer.is_up_to_date.then(|| (*node, began.elapsed()))
             })
             .collect();
         let mut answered = BTreeMap::new();
-        while let Ok(Some(answer)) = timeout_at(began + ORDER_LIMIT, asked.next()).await {
+        while let Ok(Some(answer)) = timeout_at(began + ORDERING_TIMEOUT, polls.next()).await {
             answered.extend(answer);
         }
         let candidates = controllers.iter().map(|node| CandidateController {
@@ -289,51 +287,53 @@
             answered_in: answered.get(node).copied(),
         });
         let order = order_of_controllers(self.peers.identity().node, candidates.collect());
-        let made = ControllerOrder {
-            is_whole: answered.len() == order.len(),
+        let computed = ControllerOrder {
+            is_complete: answered.len() == order.len(),
             nodes: order.clone(),
         };
-        if self.controllers.lock().put_in_order(made) {
-            log::info!(event = "controllers_ordered", controllers:? = order; "the order in which controllers are followed");
+        if self.controllers.lock().set_order(computed) {
+            log::info!(event = "controllers_ordered", controllers:? = order; "the preference order of controllers changed");
         }
     }
 
-    /// Asks a controller until it has something to tell, less and less often: a fleet that starts for the first
-    /// time waits for its first routing table, and asks the three controllers that all of it knows.
-    async fn ask_until_any(&self, controller: NodeId) -> NodeId {
-        let mut pause = PAUSE;
+    /// Polls a controller until it has state, with exponential backoff: in a new fleet all nodes poll the same seeds
+    /// until the first routing table is set.
+    async fn poll_until_nonempty(&self, controller: NodeId) -> NodeId {
+        let mut delay = RETRY_DELAY;
         loop {
             let answer = self
-                .exchange(controller, Known::EVERYTHING, Duration::ZERO)
+                .send_follow(controller, Known::EVERYTHING, Duration::ZERO)
                 .await;
             match answer {
                 Some(answer) if answer.update.known.is_any() => return controller,
-                _ => sleep(pause).await,
+                _ => sleep(delay).await,
             }
-            pause = (pause * 2).min(LONGEST_PAUSE);
+            delay = (delay * 2).min(MAX_RETRY_DELAY);
         }
     }
 
-    /// What a controller tells; none if it can't be reached, or has nothing to tell and isn't sure of that.
-    async fn ask(&self, controller: NodeId, known: Known) -> Option<FleetUpdate> {
-        let answer = self.exchange(controller, known, self.hold()).await?;
-        // News may be taken from anyone; it is the lack of news that only a fresh one can tell.
-        (answer.is_sure || !answer.update.is_empty()).then_some(answer.update)
+    /// Polls a controller; none if it is unreachable, or returned an empty update without being up to date.
+    async fn poll(&self, controller: NodeId, known: Known) -> Option<FleetUpdate> {
+        let answer = self
+            .send_follow(controller, known, self.poll_timeout())
+            .await?;
+        // Changes are accepted from any controller; an empty update only from one that is up to date.
+        (answer.is_up_to_date || !answer.update.is_empty()).then_some(answer.update)
     }
 
-    async fn exchange(
+    async fn send_follow(
         &self,
         controller: NodeId,
         known: Known,
-        hold: Duration,
-    ) -> Option<ControllerAnswer> {
+        poll_timeout: Duration,
+    ) -> Option<ControllerResponse> {
         let request = PeerRequest::Follow {
             known,
-            hold_ms: hold.as_millis() as u64,
+            hold_ms: poll_timeout.as_millis() as u64,
             is_store: self.kind == FollowerKind::Store,
         };
         let asked_at = self.clock.now();
-        let limit = hold + ANSWER_SLACK;
+        let limit = poll_timeout + RESPONSE_MARGIN;
         let reply = self.peers.request(controller, request, limit).await;
         let Ok(PeerReply::Update {
             update,
@@ -345,37 +345,37 @@
             return None;
         };
         *self.answered_at.lock() = Some(Instant::now());
-        self.controllers.lock().learn(controller, controllers);
+        self.controllers.lock().update(controller, controllers);
         if let Some(proof) = &proof {
-            self.note_proof(proof, asked_at);
+            self.record_proof(proof, asked_at);
         }
-        let is_sure = is_fresh && (proof.is_some() || !self.kind.is_strict());
-        Some(ControllerAnswer {
+        let is_up_to_date = is_fresh && (proof.is_some() || !self.kind.is_strict());
+        Some(ControllerResponse {
             update: *update,
-            is_sure,
+            is_up_to_date,
         })
     }
 
-    /// How long the next request is held; not at all while the proof is old.
-    fn hold(&self) -> Duration {
-        let hold = self.kind.hold();
-        let is_proven = self.proof_age().is_some_and(|age| age < hold * 3);
+    /// The poll timeout of the next request; zero while the proof is missing or old.
+    fn poll_timeout(&self) -> Duration {
+        let poll_timeout = self.kind.poll_timeout();
+        let is_proven = self.proof_age().is_some_and(|age| age < poll_timeout * 3);
         if self.kind.is_strict() && !is_proven {
             return Duration::ZERO;
         }
-        hold
+        poll_timeout
     }
 
-    /// Notes a proof that came with the answer to a question asked at a time.
-    fn note_proof(&self, proof: &RoutingProof, asked_at: Duration) {
-        if self.proofs_kept.lock().note(asked_at, proof) {
+    /// Records a proof received with the response to a request sent at `asked_at`.
+    fn record_proof(&self, proof: &RoutingProof, asked_at: Duration) {
+        if self.proof_keeper.lock().note(asked_at, proof) {
             self.proofs.send_replace(());
         }
     }
 
-    /// Puts a part of a routing table to those that were taken; a table that is whole by that is an update like one
-    /// that came whole. Returns what is taken of one that isn't.
-    fn assemble(&self, update: &mut FleetUpdate) -> Option<PartsTaken> {
+    /// Adds a part of a routing table to those received, and sets `update.routing` once the table is complete.
+    /// Returns the parts received of an incomplete table.
+    fn assemble_table(&self, update: &mut FleetUpdate) -> Option<PartsTaken> {
         let mut assembler = self.assembler.lock();
         if let Some(part) = update.table_part.take() {
             let held = self.view.borrow().routing.clone();
@@ -384,12 +384,12 @@
         assembler.taken()
     }
 
-    fn take_in(&self, controller: NodeId, known: Known, mut update: FleetUpdate) -> Known {
+    fn apply_update(&self, controller: NodeId, known: Known, mut update: FleetUpdate) -> Known {
         let mut next = update.known;
         next.takes_parts = known.takes_parts;
-        next.parts = self.assemble(&mut update);
-        let told = update.routing.as_ref().map(|table| table.version);
-        next.routing = known.routing.max(told);
+        next.parts = self.assemble_table(&mut update);
+        let received = update.routing.as_ref().map(|table| table.version);
+        next.routing = known.routing.max(received);
         let servers = update.servers.as_ref();
         if !servers.is_some_and(|changes| changes.is_whole) {
             next.servers = next.servers.max(known.servers);
@@ -404,7 +404,7 @@
             if let Some(routing) = update.routing {
                 let held = view.routing.as_ref().map(|held| held.version);
                 if held < Some(routing.version) {
-                    log::info!(event = "routing_in_force", controller:% = controller, version = routing.version, routes = routing.table.routes.len(); "a routing table is in force here");
+                    log::info!(event = "routing_in_force", controller:% = controller, version = routing.version, routes = routing.table.routes.len(); "a new routing table is in force on this node");
                     view.routing = Some(routing);
                 }
             }
@@ -414,29 +414,29 @@
                 let is_whole = changes.is_whole;
                 let servers = Arc::make_mut(&mut view.servers);
                 servers.apply(changes);
-                log::info!(event = "servers_changed", revision = update.known.servers, changed, removed, is_whole, servers = servers.len(); "the servers changed");
+                log::info!(event = "servers_changed", revision = update.known.servers, changed, removed, is_whole, servers = servers.len(); "the list of servers changed");
             }
             if let Some(evacuated) = update.evacuated
                 && evacuated.revision > view.evacuated.revision
             {
-                log::info!(event = "evacuated_zones", revision = evacuated.revision, zones:? = evacuated.zones; "the zones whose servers get nothing changed");
+                log::info!(event = "evacuated_zones", revision = evacuated.revision, zones:? = evacuated.zones; "the evacuated zones changed");
                 view.evacuated = Arc::new(evacuated);
             }
             if !update.record_views.is_empty() {
-                learn_views(&mut view.records, update.record_views);
+                apply_view_changes(&mut view.records, update.record_views);
             }
         });
         next
     }
 }
 
-/// Spread, so that the followers of a controller that returned don't all come back at once.
-fn return_pause() -> Duration {
-    RETURN_CHECK.mul_f64(rand::random_range(0.75..1.25))
+/// Interval with jitter, so that followers do not all return to a recovered controller at once.
+fn jittered_check_interval() -> Duration {
+    PREFERRED_CHECK_INTERVAL.mul_f64(rand::random_range(0.75..1.25))
 }
 
-/// Takes in views of partitions, and says which are new here.
-fn learn_views(records: &mut Arc<PartitionMap>, changes: Vec<ViewChange>) {
+/// Applies changes of partition views and logs those that are new.
+fn apply_view_changes(records: &mut Arc<PartitionMap>, changes: Vec<ViewChange>) {
     let records = Arc::make_mut(records);
     let mut changed = Vec::new();
     for change in changes {
@@ -447,6 +447,6 @@
         }
     }
     if !changed.is_empty() {
-        log::info!(event = "record_views_changed", partitions_and_epochs:? = changed, whole = records.is_whole(); "the replicas of partitions of the records changed");
+        log::info!(event = "record_views_changed", partitions_and_epochs:? = changed, whole = records.is_whole(); "the replicas of record partitions changed");
     }
 }
--- a/crates/courseshed-edge/src/follower_order.rs
+++ b/crates/courseshed-edge/src/follower_order.rs
@@ -1,29 +1,28 @@
-//! Which controllers a node follows. Pure.
+//! The order in which a node prefers controllers. Pure.
 //!
-//! All nodes know the same few controllers to begin with. Had each stayed with the first that answers, three of
-//! ten would have carried all of a large fleet: 288 followers each of 865, and ten times the work of the others.
+//! All nodes start from the same seeds. A per-node order spreads followers over all controllers instead of
+//! concentrating them on the seeds.
 
 use std::time::Duration;
 
 use courseshed_types::NodeId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// How much later than the fastest one a controller may answer to count as near: several times the way between
-/// the zones of a region (1 to 3 ms) and what a busy controller takes, and less than a way between regions
-/// (60 ms).
+/// How much later than the fastest controller another may answer and still count as near: above the latency
+/// between zones of a region, below the latency between regions.
 const NEAR: Duration = Duration::from_millis(25);
 
-/// A controller, and how long it took to answer.
+/// A controller and its response time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CandidateController {
     /// The machine.
     pub node: NodeId,
-    /// From the question to its answer; none if none came.
+    /// Response time; none if it did not answer.
     pub answered_in: Option<Duration>,
 }
 
-/// The order in which a node follows controllers: those that are near before those that are far, those that
-/// don't answer last. Among them each node has an order of its own, which stays the same at each start.
+/// Sorts controllers by preference: near ones, then far ones, then those that did not answer. Ties are broken by
+/// a hash of both nodes, which differs between nodes and is stable across restarts.
 #[must_use]
 pub fn order_of_controllers(own: NodeId, candidates: Vec<CandidateController>) -> Vec<NodeId> {
     let fastest = candidates
