--- a/crates/courseshed-edge/src/controller/quotas.rs
+++ b/crates/courseshed-edge/src/controller/quotas.rs
@@ -11,7 +11,7 @@
 use tokio::sync::oneshot;
 
 use super::worker::Worker;
-use crate::metrics::PermitFigures;
+use crate::metrics::PermitCounts;
 use crate::protocol::PeerReply;
 
 /// How often ceilings are looked at. They are lowered if what was out since the last time fits under
@@ -83,7 +83,7 @@
         let limited: Vec<(&str, u32)> = limited.collect();
         let bounds = quotas.owner.bounds_due(now, limited.iter().copied());
         for (name, permits) in limited {
-            let figures = PermitFigures {
+            let figures = PermitCounts {
                 permits: u64::from(permits),
                 out: quotas.owner.out(name),
                 in_use: quotas.owner.in_use(name),
--- a/crates/courseshed-edge/src/logging.rs
+++ b/crates/courseshed-edge/src/logging.rs
@@ -1,7 +1,7 @@
-//! Log lines: one JSON object each on standard output, bounded in number, and never waited for.
+//! Structured logging: one JSON object per line on standard output, without blocking the caller.
 //!
-//! Lines go through a bounded queue to a thread that writes them. What doesn't fit, and what exceeds
-//! the rate, is left out and counted; the count is written as soon as there is room again.
+//! Lines go through a bounded queue to a writer thread. Lines that exceed the queue or the rate limit
+//! are dropped and counted; the writer reports the count with the next batch.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -16,38 +16,38 @@
 
 use crate::clock::time_of_day_ms;
 
-/// Lines that may wait to be written.
-const QUEUE: usize = 4096;
-/// Lines a second that are let through in the long run.
+/// Capacity of the queue of lines to write.
+const QUEUE_CAPACITY: usize = 4096;
+/// Sustained rate limit for lines below `WARN`.
 const LINES_PER_SECOND: f64 = 400.0;
-/// Lines that may come at once.
-const BURST: f64 = 2000.0;
+/// Burst size of the rate limit.
+const BURST_LINES: f64 = 2000.0;
 
-static LEFT_OUT: AtomicU64 = AtomicU64::new(0);
+static DROPPED_LINES: AtomicU64 = AtomicU64::new(0);
 
-/// Lines that were left out since the start.
+/// Number of lines dropped since the process started.
 #[must_use]
-pub fn left_out() -> u64 {
-    LEFT_OUT.load(Ordering::Relaxed)
+pub fn dropped_lines() -> u64 {
+    DROPPED_LINES.load(Ordering::Relaxed)
 }
 
-/// Sets the logger of the process up; `node` and `role` stand in every line.
+/// Installs the global logger; every line contains `node` and `role`.
 pub fn init(node: String, role: &'static str) {
-    let (sender, lines) = sync_channel(QUEUE);
+    let (sender, lines) = sync_channel(QUEUE_CAPACITY);
     let spawned = thread::Builder::new()
         .name("log".to_owned())
         .spawn(move || write_lines(&lines));
     if spawned.is_err() {
         return;
     }
-    let budget = Mutex::new(LineBudget::new());
+    let limiter = Mutex::new(TokenBucket::new());
     let dispatch = fern::Dispatch::new()
         .level(LevelFilter::Info)
         .level_for("actix_http", LevelFilter::Off)
         .chain(fern::Output::call(move |record| {
             let is_urgent = record.level() <= log::Level::Warn;
-            if !is_urgent && !budget.lock().take() {
-                LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+            if !is_urgent && !limiter.lock().try_take() {
+                DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
                 return;
             }
             send(&sender, format_line(record, &node, role));
@@ -57,7 +57,7 @@
 
 fn send(sender: &SyncSender<String>, line: String) {
     if sender.try_send(line).is_err() {
-        LEFT_OUT.fetch_add(1, Ordering::Relaxed);
+        DROPPED_LINES.fetch_add(1, Ordering::Relaxed);
     }
 }
 
@@ -68,44 +68,44 @@
     line.insert("node".to_owned(), json!(node));
     line.insert("role".to_owned(), json!(role));
     line.insert("message".to_owned(), json!(record.args().to_string()));
-    let _ = record.key_values().visit(&mut Pairs(&mut line));
+    let _ = record.key_values().visit(&mut KeyValueVisitor(&mut line));
     serde_json::Value::Object(line).to_string()
 }
 
 fn write_lines(lines: &Receiver<String>) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(first) = lines.recv() {
         let mut text = first;
         text.push('\n');
-        for line in lines.try_iter().take(QUEUE) {
+        for line in lines.try_iter().take(QUEUE_CAPACITY) {
             text.push_str(&line);
             text.push('\n');
         }
-        let left_out = left_out();
-        if left_out > told {
-            let line = json!({"at_ms": time_of_day_ms(), "level": "WARN", "event": "lines_left_out", "count": left_out - told});
+        let dropped_lines = dropped_lines();
+        if dropped_lines > reported {
+            let line = json!({"at_ms": time_of_day_ms(), "level": "WARN", "event": "lines_left_out", "count": dropped_lines - reported});
             text.push_str(&format!("{line}\n"));
-            told = left_out;
+            reported = dropped_lines;
         }
         let _ = std::io::stdout().lock().write_all(text.as_bytes());
     }
 }
 
-struct Pairs<'a>(&'a mut Map<String, serde_json::Value>);
+struct KeyValueVisitor<'a>(&'a mut Map<String, serde_json::Value>);
 
-impl<'kvs> VisitSource<'kvs> for Pairs<'_> {
+impl<'kvs> VisitSource<'kvs> for KeyValueVisitor<'_> {
     fn visit_pair(&mut self, key: Key<'kvs>, value: Value<'kvs>) -> Result<(), Error> {
-        let mut json = ToJson(serde_json::Value::Null);
+        let mut json = JsonVisitor(serde_json::Value::Null);
         value.visit(&mut json)?;
         self.0.insert(key.as_str().to_owned(), json.0);
         Ok(())
     }
 }
 
-/// A value as JSON: numbers and truths as such, nothing as null, all else as text.
-struct ToJson(serde_json::Value);
+/// Converts a value to JSON: integers, booleans and null natively, anything else as a string.
+struct JsonVisitor(serde_json::Value);
 
-impl VisitValue<'_> for ToJson {
+impl VisitValue<'_> for JsonVisitor {
     fn visit_any(&mut self, value: Value<'_>) -> Result<(), Error> {
         self.0 = json!(value.to_string());
         Ok(())
@@ -132,29 +132,29 @@
     }
 }
 
-/// Lines that may still be written: refilled steadily, up to a burst.
-struct LineBudget {
-    lines: f64,
+/// A token bucket; one token per line.
+struct TokenBucket {
+    tokens: f64,
     refilled: Instant,
 }
 
-impl LineBudget {
+impl TokenBucket {
     fn new() -> Self {
         Self {
-            lines: BURST,
+            tokens: BURST_LINES,
             refilled: Instant::now(),
         }
     }
 
-    fn take(&mut self) -> bool {
+    fn try_take(&mut self) -> bool {
         let now = Instant::now();
-        let passed: Duration = now - self.refilled;
+        let elapsed: Duration = now - self.refilled;
         self.refilled = now;
-        self.lines = (self.lines + passed.as_secs_f64() * LINES_PER_SECOND).min(BURST);
-        if self.lines < 1.0 {
+        self.tokens = (self.tokens + elapsed.as_secs_f64() * LINES_PER_SECOND).min(BURST_LINES);
+        if self.tokens < 1.0 {
             return false;
         }
-        self.lines -= 1.0;
+        self.tokens -= 1.0;
         true
     }
 }
--- a/crates/courseshed-edge/src/metrics.rs
+++ b/crates/courseshed-edge/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a process, as text for whoever scrapes them.
+//! Metrics of a process in the Prometheus text format.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -20,178 +20,178 @@
 use crate::http::{HttpTiming, listen, serve};
 use crate::logging;
 
-/// Upper bounds of the buckets of times, in seconds.
-const SECONDS: [f64; 12] = [
+/// Histogram buckets for durations, in seconds.
+const DURATION_BUCKETS: [f64; 12] = [
     0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1.0, 2.0, 5.0, 10.0,
 ];
 
-/// What a call came to.
+/// Labels of finished calls.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CallLabels {
-    /// The service it was for.
+    /// The service called.
     pub service: String,
-    /// How it ended, as in the log.
+    /// The outcome, as in the log.
     pub outcome: &'static str,
 }
 
-/// A tenant, as a label. There are as many as routing tables have named.
+/// The tenant label. Its cardinality is the number of tenants in routing tables so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct TenantLabels {
     /// The tenant.
     pub tenant: String,
 }
 
-/// A pool of engines, as a label. There are as many as routing tables have named.
+/// The pool label. Its cardinality is the number of pools in routing tables so far.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct PoolLabels {
-    /// The service that it serves.
+    /// The service that the pool serves.
     pub service: String,
 }
 
-/// What the scheduler of a pool said to calls.
+/// Labels of scheduler decisions.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct DecisionLabels {
     /// The service that the pool serves.
     pub service: String,
-    /// What it said.
+    /// The verdict.
     pub verdict: &'static str,
 }
 
-/// Who chose the server of a call.
+/// Labels of server choices.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ChoiceLabels {
-    /// The scheduler of the pool, or the gateway itself.
+    /// Who chose: the pool's scheduler or the gateway.
     pub by: &'static str,
 }
 
-/// A service, as a label.
+/// The service label.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct ServiceLabels {
     /// The service.
     pub service: String,
 }
 
-/// Why callers were cut off, as a label.
+/// Labels of aborted client connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CutLabels {
-    /// Why.
+    /// The reason.
     pub reason: &'static str,
 }
 
-/// What an owner of permits knows of a tenant.
+/// Permit counts of a tenant, as known to the owner of permits.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PermitFigures {
-    /// Permits that there are.
+pub struct PermitCounts {
+    /// Total permits.
     pub permits: u64,
-    /// Permits that gateways hold, or that may still be occupied.
+    /// Permits held by gateways, or possibly still in use.
     pub out: u64,
-    /// Permits that are occupied or waited for.
+    /// Permits in use or waited for.
     pub in_use: u64,
 }
 
-/// The counters and histograms of a process.
+/// The metrics of a process.
 #[derive(Debug)]
 pub struct Metrics {
     registry: Mutex<Registry>,
-    /// Calls that are over.
+    /// Finished calls.
     pub calls: Family<CallLabels, Counter>,
-    /// Times from a call's arrival to its end, in seconds.
+    /// Duration of calls in seconds.
     pub call_seconds: Histogram,
     /// Requests sent to servers.
     pub attempts: Counter,
-    /// Streams taken up at a server after a break.
+    /// Streams resumed after a broken connection.
     pub resumed: Counter,
-    /// How old the proof of the routing table was when a call with a key was sent, in seconds.
+    /// Age of the routing table's proof when a call with an API key is sent, in seconds.
     pub proof_age: Histogram,
-    /// Calls that were refused since their tenant had made as many as it may.
+    /// Calls refused because their tenant exceeded its quota.
     pub over_quota: Family<TenantLabels, Counter>,
-    /// How long calls waited for a permit that this gateway didn't hold, in seconds.
+    /// Time calls waited for a permit that this gateway did not hold, in seconds.
     pub permit_wait: Histogram,
     avoided: Family<ServiceLabels, Gauge<i64, AtomicI64>>,
     permits: Family<TenantLabels, Gauge<i64, AtomicI64>>,
     permits_out: Family<TenantLabels, Gauge<i64, AtomicI64>>,
     permits_in_use: Family<TenantLabels, Gauge<i64, AtomicI64>>,
-    /// Calls that wait at the scheduler of a pool here.
+    /// Calls waiting in pool schedulers on this node.
     pub pool_calls_waiting: Family<PoolLabels, Gauge<i64, AtomicI64>>,
-    /// Calls that the scheduler of a pool here knows to be at engines.
+    /// Calls running on engines, as known to pool schedulers on this node.
     pub pool_calls_running: Family<PoolLabels, Gauge<i64, AtomicI64>>,
-    /// Decisions of the schedulers of pools here.
+    /// Decisions of pool schedulers on this node.
     pub pool_decisions: Family<DecisionLabels, Counter>,
-    /// How long calls waited at the schedulers here until they were decided, in seconds.
+    /// Time calls waited in pool schedulers on this node, in seconds.
     pub pool_wait: Histogram,
-    /// Choices of servers by this gateway's calls.
+    /// Server choices for this gateway's calls.
     pub choices: Family<ChoiceLabels, Counter>,
-    /// How long this gateway's calls took to get a verdict of a scheduler, in seconds.
+    /// Time until this gateway received a scheduler's verdict, in seconds.
     pub verdict_wait: Histogram,
-    /// Bytes that a gateway holds for callers and servers that read slowly.
+    /// Bytes buffered for slow clients and servers.
     pub held_bytes: Gauge<i64, AtomicI64>,
-    /// The most that it held since the start.
+    /// Maximum of `held_bytes` since the process started.
     pub held_peak: Gauge<i64, AtomicI64>,
-    /// The most that it may hold.
+    /// Limit of `held_bytes`.
     pub held_limit: Gauge<i64, AtomicI64>,
-    /// Calls refused since there was no memory for their bodies.
+    /// Calls refused because there was no memory for their bodies.
     pub held_refusals: Counter,
-    /// Callers that were cut off since they didn't read.
+    /// Client connections aborted because the client did not read.
     pub callers_cut_off: Family<CutLabels, Counter>,
-    /// Version of the routing table in force here.
+    /// Version of the routing table in force on this node.
     pub routing_version: Gauge<i64, AtomicI64>,
-    /// Revision of the partitions of the records, as known here.
+    /// Revision of the record partitions known to this node.
     pub record_revision: Gauge<i64, AtomicI64>,
-    /// What a store holds and uses; all zero in other roles.
-    records: Vec<(RecordFigure, Gauge<i64, AtomicI64>)>,
-    log_lines_left_out: Counter<u64, AtomicU64>,
+    /// Gauges of a store; zero in other roles.
+    records: Vec<(StoreGauge, Gauge<i64, AtomicI64>)>,
+    log_lines_dropped: Counter<u64, AtomicU64>,
 }
 
-/// A figure of a store that is told as a gauge.
+/// A gauge that is read from a store's figures.
 #[derive(Clone, Copy, Debug)]
-struct RecordFigure {
+struct StoreGauge {
     name: &'static str,
     help: &'static str,
     read: fn(&StoreFigures) -> u64,
 }
 
-const RECORD_FIGURES: [RecordFigure; 9] = [
-    RecordFigure {
+const STORE_GAUGES: [StoreGauge; 9] = [
+    StoreGauge {
         name: "record_turns",
         help: "Turns that the store keeps",
         read: |figures| figures.turns,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_reservations",
         help: "Reservations that the store keeps",
         read: |figures| figures.reservations,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_segments",
         help: "Files of the store",
         read: |figures| figures.segments,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_file_bytes",
         help: "Size of the store's files",
         read: |figures| figures.file_bytes,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_live_bytes",
         help: "What is needed of the store's files",
         read: |figures| figures.live_bytes,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_index_bytes",
         help: "Memory of the store's index, estimated",
         read: |figures| figures.index_bytes,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_cache_bytes",
         help: "Memory of the store's cache of turns",
         read: |figures| figures.cache_bytes,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_cache_misses",
         help: "Turns read from files since the start",
         read: |figures| figures.cache_misses,
     },
-    RecordFigure {
+    StoreGauge {
         name: "record_carried_bytes",
         help: "Bytes written anew to give space back since the start",
         read: |figures| figures.carried_bytes,
@@ -199,18 +199,18 @@
 ];
 
 impl Metrics {
-    /// All at zero.
+    /// Creates and registers all metrics.
     #[must_use]
     pub fn new() -> Self {
         let metrics = Self {
             registry: Mutex::new(Registry::with_prefix("courseshed")),
             calls: Family::default(),
-            call_seconds: Histogram::new(SECONDS),
+            call_seconds: Histogram::new(DURATION_BUCKETS),
             attempts: Counter::default(),
             resumed: Counter::default(),
-            proof_age: Histogram::new(SECONDS),
+            proof_age: Histogram::new(DURATION_BUCKETS),
             over_quota: Family::default(),
-            permit_wait: Histogram::new(SECONDS),
+            permit_wait: Histogram::new(DURATION_BUCKETS),
             avoided: Family::default(),
             permits: Family::default(),
             permits_out: Family::default(),
@@ -218,9 +218,9 @@
             pool_calls_waiting: Family::default(),
             pool_calls_running: Family::default(),
             pool_decisions: Family::default(),
-            pool_wait: Histogram::new(SECONDS),
+            pool_wait: Histogram::new(DURATION_BUCKETS),
             choices: Family::default(),
-            verdict_wait: Histogram::new(SECONDS),
+            verdict_wait: Histogram::new(DURATION_BUCKETS),
             held_bytes: Gauge::default(),
             held_peak: Gauge::default(),
             held_limit: Gauge::default(),
@@ -228,10 +228,10 @@
             callers_cut_off: Family::default(),
             routing_version: Gauge::default(),
             record_revision: Gauge::default(),
-            records: RECORD_FIGURES
+            records: STORE_GAUGES
                 .map(|figure| (figure, Gauge::default()))
                 .to_vec(),
-            log_lines_left_out: Counter::default(),
+            log_lines_dropped: Counter::default(),
         };
         metrics.register();
         metrics.register_scheduling();
@@ -308,7 +308,7 @@
         registry.register(
             "log_lines_left_out",
             "Log lines that were left out",
-            self.log_lines_left_out.clone(),
+            self.log_lines_dropped.clone(),
         );
     }
 
@@ -374,7 +374,7 @@
         );
     }
 
-    /// Notes how many bytes are held for callers and servers that read slowly.
+    /// Sets `held_bytes` and updates its maximum.
     pub fn set_held(&self, bytes: usize) {
         let bytes = i64::try_from(bytes).unwrap_or(i64::MAX);
         self.held_bytes.set(bytes);
@@ -383,13 +383,13 @@
         }
     }
 
-    /// Notes how old the proof of the routing table was when a call with a key was to be sent.
+    /// Records the age of the routing table's proof for a call; none counts as infinite.
     pub fn note_proof_age(&self, age: Option<Duration>) {
         let age = age.map_or(f64::INFINITY, |age| age.as_secs_f64());
         self.proof_age.observe(age);
     }
 
-    /// Notes how many servers are avoided, by service.
+    /// Sets the number of avoided servers by service.
     pub fn set_avoided(&self, avoided: &BTreeMap<String, usize>) {
         self.avoided.clear();
         for (service, number) in avoided {
@@ -401,42 +401,42 @@
         }
     }
 
-    /// Forgets the permits of all tenants: another controller owns them.
+    /// Removes the permit gauges of all tenants, when this controller stops owning permits.
     pub fn clear_permits(&self) {
         for family in [&self.permits, &self.permits_out, &self.permits_in_use] {
             family.clear();
         }
     }
 
-    /// Notes what the owner of permits knows of a tenant.
-    pub fn set_permits(&self, tenant: &str, figures: PermitFigures) {
+    /// Sets the permit gauges of a tenant.
+    pub fn set_permits(&self, tenant: &str, figures: PermitCounts) {
         let labels = TenantLabels {
             tenant: tenant.to_owned(),
         };
-        let told = [
+        let gauges = [
             (&self.permits, figures.permits),
             (&self.permits_out, figures.out),
             (&self.permits_in_use, figures.in_use),
         ];
-        for (family, figure) in told {
+        for (family, figure) in gauges {
             let figure = i64::try_from(figure).unwrap_or(i64::MAX);
             family.get_or_create(&labels).set(figure);
         }
     }
 
-    /// Notes what a store holds and uses.
+    /// Sets the gauges of a store.
     pub fn set_records(&self, figures: &StoreFigures) {
         for (figure, gauge) in &self.records {
             gauge.set(i64::try_from((figure.read)(figures)).unwrap_or(i64::MAX));
         }
     }
 
-    /// All of it, as text.
+    /// Encodes all metrics in the text format.
     #[must_use]
     pub fn text(&self) -> String {
-        let told = self.log_lines_left_out.get();
-        self.log_lines_left_out
-            .inc_by(logging::left_out().saturating_sub(told));
+        let reported = self.log_lines_dropped.get();
+        self.log_lines_dropped
+            .inc_by(logging::dropped_lines().saturating_sub(reported));
         let mut text = String::new();
         let _ = encode(&mut text, &self.registry.lock());
         text
@@ -449,7 +449,7 @@
     }
 }
 
-/// Serves the figures on an address until the process ends.
+/// Serves the metrics on an address indefinitely.
 pub async fn serve_metrics(metrics: std::sync::Arc<Metrics>, address: SocketAddr) {
     match listen(address) {
         Ok(listener) => {
@@ -460,7 +460,7 @@
             .await;
         }
         Err(error) => {
-            log::warn!(event = "no_metrics", address:% = address; "metrics can't be served: {error}");
+            log::warn!(event = "no_metrics", address:% = address; "cannot serve metrics: {error}");
         }
     }
 }
--- a/crates/courseshed-edge/tests/logging.rs
+++ b/crates/courseshed-edge/tests/logging.rs
@@ -42,7 +42,7 @@
         for number in 0..MANY_LINES {
             log::warn!(event = "line", number; "{}", "x".repeat(200));
         }
-        assert!(logging::left_out() > 0);
+        assert!(logging::dropped_lines() > 0);
         std::process::exit(0);
     }
     let mut child = start_child("a_pipe_that_nobody_reads_stops_nobody");
