--- a/crates/courseshed-edge/src/control_client.rs
+++ b/crates/courseshed-edge/src/control_client.rs
@@ -1,4 +1,4 @@
-//! Asking the leader of the controllers from a node that isn't one.
+//! Client of the controllers' leader, for nodes that are not controllers.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
 
-const ASK_LIMIT: Duration = Duration::from_millis(900);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// A client of the controllers.
 #[derive(Clone)]
@@ -35,7 +35,7 @@
         }
     }
 
-    /// Has a command committed, by whichever controller leads.
+    /// Submits a command, following leader redirects.
     pub(crate) async fn submit(&self, command: Command) -> Result<Outcome, ControlError> {
         for controller in self.follower.controllers() {
             let mut next = Some(controller);
@@ -44,7 +44,7 @@
                     break;
                 };
                 match self
-                    .ask(controller, PeerRequest::Submit(command.clone()))
+                    .request(controller, PeerRequest::Submit(command.clone()))
                     .await
                 {
                     Some(PeerReply::Committed(outcome)) => return Ok(outcome),
@@ -53,25 +53,25 @@
                 }
             }
         }
-        Err(ControlError::Unsure)
+        Err(ControlError::OutcomeUnknown)
     }
 
-    /// Tells all controllers that this store has caught up; the leader acts on it.
-    pub(crate) async fn tell_caught_up(&self, incarnation: u64, partitions: &[PartitionId]) {
+    /// Reports to all controllers that this store has caught up; only the leader acts on it.
+    pub(crate) async fn report_caught_up(&self, incarnation: u64, partitions: &[PartitionId]) {
         for controller in self.follower.controllers() {
             let request = PeerRequest::CaughtUp {
                 incarnation,
                 partitions: partitions.to_vec(),
             };
-            let _ = self.ask(controller, request).await;
+            let _ = self.request(controller, request).await;
         }
     }
 
-    async fn ask(&self, controller: NodeId, request: PeerRequest) -> Option<PeerReply> {
+    async fn request(&self, controller: NodeId, request: PeerRequest) -> Option<PeerReply> {
         let address = self.addresses.of(controller, PeerPort::Controller);
         self.peers.set_address(controller, address);
         self.peers
-            .request(controller, request, ASK_LIMIT)
+            .request(controller, request, REQUEST_TIMEOUT)
             .await
             .ok()
     }
--- a/crates/courseshed-edge/src/controller/handle.rs
+++ b/crates/courseshed-edge/src/controller/handle.rs
@@ -36,7 +36,7 @@
 pub enum ControlError {
     /// It may have been done, or not: ask again, here or elsewhere.
     #[snafu(display("not certain; ask again"))]
-    Unsure,
+    OutcomeUnknown,
     /// No machine of that name is known.
     #[snafu(display("no machine of that name is known"))]
     UnknownMachine,
@@ -273,7 +273,7 @@
     /// Takes an announcement of a server. Only what is new is committed.
     ///
     /// # Errors
-    /// [`ControlError::Unsure`] when what is new could not be committed in time.
+    /// [`ControlError::OutcomeUnknown`] when what is new could not be committed in time.
     pub async fn announce(&self, registration: Registration) -> Result<(), ControlError> {
         let id = registration.server.id.clone();
         let state = self.shared.published().state;
@@ -290,7 +290,7 @@
     /// Takes that a server leaves.
     ///
     /// # Errors
-    /// [`ControlError::Unsure`] when it could not be committed in time.
+    /// [`ControlError::OutcomeUnknown`] when it could not be committed in time.
     pub async fn leave(&self, server: String) -> Result<(), ControlError> {
         let id = server.clone();
         let result = self.submit(Command::Leave { server }).await;
@@ -302,7 +302,7 @@
     /// gateways that hear a controller learn of it like of a routing table, within a round between zones.
     ///
     /// # Errors
-    /// [`ControlError::UnknownZone`], or [`ControlError::Unsure`] when it could not be committed in time.
+    /// [`ControlError::UnknownZone`], or [`ControlError::OutcomeUnknown`] when it could not be committed in time.
     pub async fn evacuate(&self, zone: &str, is_evacuated: bool) -> Result<(), ControlError> {
         if !self.zones.is_empty() && !self.zones.contains(zone) {
             return Err(ControlError::UnknownZone);
@@ -319,7 +319,7 @@
     /// Puts a checked routing table in force, unless a higher version is.
     ///
     /// # Errors
-    /// [`ControlError::Unsure`] when it could not be committed in time.
+    /// [`ControlError::OutcomeUnknown`] when it could not be committed in time.
     pub async fn replace_routing(
         &self,
         table: VersionedTable,
@@ -343,31 +343,31 @@
             PeerReply::Committed(Outcome::Done) => Ok(()),
             PeerReply::Committed(Outcome::UnknownMachine) => Err(ControlError::UnknownMachine),
             PeerReply::Committed(Outcome::TooFew) => Err(ControlError::TooFew),
-            _ => Err(ControlError::Unsure),
+            _ => Err(ControlError::OutcomeUnknown),
         }
     }
 
     /// The routing table in force, confirmed by a quorum.
     ///
     /// # Errors
-    /// [`ControlError::Unsure`] when that can't be known, [`ControlError::NoRouting`] before the first.
+    /// [`ControlError::OutcomeUnknown`] when that can't be known, [`ControlError::NoRouting`] before the first.
     pub async fn routing(&self) -> Result<RoutingInForce, ControlError> {
         match self.ask_leader(|| PeerRequest::ReadRouting).await? {
             PeerReply::Routing(routing) => routing.ok_or(ControlError::NoRouting),
-            _ => Err(ControlError::Unsure),
+            _ => Err(ControlError::OutcomeUnknown),
         }
     }
 
     /// How far the emptying of a machine is, as far as this controller knows.
     ///
     /// # Errors
-    /// [`ControlError::UnknownMachine`] when no emptying of it was asked for, [`ControlError::Unsure`] when this
+    /// [`ControlError::UnknownMachine`] when no emptying of it was asked for, [`ControlError::OutcomeUnknown`] when this
     /// controller may lack that it was.
     pub fn retirement(&self, name: &str) -> Result<Retirement, ControlError> {
         match self.shared.state().retirement(name) {
             Some(retirement) => Ok(retirement),
             None if self.shared.is_fresh() => Err(ControlError::UnknownMachine),
-            None => Err(ControlError::Unsure),
+            None => Err(ControlError::OutcomeUnknown),
         }
     }
 
@@ -390,7 +390,7 @@
             let leader = hint.take().or(published.leader);
             let left = deadline.saturating_duration_since(Instant::now());
             if left.is_zero() {
-                return Err(ControlError::Unsure);
+                return Err(ControlError::OutcomeUnknown);
             }
             let reply = match leader {
                 Some(leader) => self.ask(leader, make(), left).await,
@@ -398,7 +398,7 @@
             };
             match reply {
                 Some(PeerReply::NotLeader(other)) => hint = other,
-                Some(PeerReply::Unsure) | None => {}
+                Some(PeerReply::OutcomeUnknown) | None => {}
                 Some(reply) => return Ok(reply),
             }
             sleep(RETRY_PAUSE).await;
--- a/crates/courseshed-edge/src/controller/peers.rs
+++ b/crates/courseshed-edge/src/controller/peers.rs
@@ -54,7 +54,7 @@
 
     fn known_incarnation(&self, node: NodeId) -> PeerReply {
         if !self.shared.is_fresh() {
-            return PeerReply::Unsure;
+            return PeerReply::OutcomeUnknown;
         }
         let published = self.shared.published();
         PeerReply::Incarnation(published.controllers.get(&node).copied())
@@ -69,7 +69,7 @@
                     self.shared.tell(Input::Consensus(message));
                 }
             }
-            PeerMessage::Heard { servers, nodes } => {
+            PeerMessage::Heartbeats { servers, nodes } => {
                 self.shared.tell(Input::Heard { servers, nodes })
             }
             PeerMessage::Load(report) => self.shared.note_controller_load(from.node, report),
--- a/crates/courseshed-edge/src/controller/relay.rs
+++ b/crates/courseshed-edge/src/controller/relay.rs
@@ -38,7 +38,7 @@
         if published.is_leader {
             shared.tell(Input::Heard { servers, nodes });
         } else if let Some(peers) = shared.peers() {
-            let _ = peers.send(leader, PeerMessage::Heard { servers, nodes });
+            let _ = peers.send(leader, PeerMessage::Heartbeats { servers, nodes });
         }
     }
 }
--- a/crates/courseshed-edge/src/controller/worker.rs
+++ b/crates/courseshed-edge/src/controller/worker.rs
@@ -223,7 +223,7 @@
             Err(error) => {
                 let answer = match error {
                     ProposeError::NotLeader { .. } => self.not_leader(),
-                    _ => PeerReply::Unsure,
+                    _ => PeerReply::OutcomeUnknown,
                 };
                 if let Some(reply) = reply {
                     let _ = reply.send(answer);
@@ -310,7 +310,7 @@
                     .flatten()
                     .map(PeerReply::Committed);
                 if let Some(reply) = reply {
-                    let _ = reply.send(committed.unwrap_or(PeerReply::Unsure));
+                    let _ = reply.send(committed.unwrap_or(PeerReply::OutcomeUnknown));
                 }
             }
         }
@@ -338,11 +338,11 @@
         self.has_news = true;
         for (_, (_, reply)) in std::mem::take(&mut self.proposals) {
             if let Some(reply) = reply {
-                let _ = reply.send(PeerReply::Unsure);
+                let _ = reply.send(PeerReply::OutcomeUnknown);
             }
         }
         for (_, (_, reply)) in std::mem::take(&mut self.reads) {
-            let _ = reply.send(PeerReply::Unsure);
+            let _ = reply.send(PeerReply::OutcomeUnknown);
         }
         if self.quota.take().is_some() {
             self.options.metrics.clear_permits();
--- a/crates/courseshed-edge/src/protocol.rs
+++ b/crates/courseshed-edge/src/protocol.rs
@@ -1,4 +1,4 @@
-//! What the nodes of a fleet say to each other.
+//! Messages between the nodes of a fleet.
 
 use std::net::{Ipv4Addr, SocketAddr};
 
@@ -15,7 +15,7 @@
 use courseshed_types::{CachedPrompt, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// Which of a machine's ports a role listens on for its peers, counted from the first.
+/// The port on which a role listens for peers, as an offset from the first peer port.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PeerPort {
     /// Controllers.
@@ -26,15 +26,15 @@
     Gateway = 2,
 }
 
-/// Turns machines into addresses: a node is named by its IPv4 address, and ports are alike everywhere.
+/// Maps nodes to addresses: a node id is an IPv4 address, and all machines use the same ports.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddresses {
-    /// The first of the ports that are left to the fleet on every machine.
+    /// The first peer port.
     pub first_port: u16,
 }
 
 impl PeerAddresses {
-    /// Where a role of a machine listens.
+    /// The address on which a role of a node listens.
     #[must_use]
     pub fn of(self, node: NodeId, port: PeerPort) -> SocketAddr {
         let address = Ipv4Addr::from_bits(node.0);
@@ -48,166 +48,169 @@
     NodeId(address.to_bits())
 }
 
-/// The replica of the controllers' log on a node.
+/// The id of the controller log's replica on a node.
 #[must_use]
 pub fn replica_of(node: NodeId) -> ReplicaId {
     ReplicaId(u64::from(node.0))
 }
 
-/// The node of a replica of the controllers' log.
+/// The node of a replica of the controller log.
 #[must_use]
 pub fn node_of(replica: ReplicaId) -> NodeId {
     NodeId(u32::try_from(replica.0).unwrap_or_default())
 }
 
-/// Told without an answer.
+/// One-way messages.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerMessage {
-    /// Of the controllers' replicated log.
+    /// A message of the consensus protocol.
     Consensus(Message),
-    /// Who was heard lately by a controller that doesn't lead.
-    Heard {
-        /// Ids of servers.
+    /// Servers and stores that sent heartbeats to another controller, for the leader.
+    #[serde(rename = "Heard")]
+    Heartbeats {
+        /// Server ids.
         servers: Vec<String>,
-        /// Machines.
+        /// Nodes with record stores.
         nodes: Vec<NodeId>,
     },
-    /// The calls of the gateways that follow a controller, for the other controllers.
+    /// Load of the gateways that follow a controller, for the other controllers.
     Load(LoadReport),
-    /// What became of a gateway's calls, for the scheduler of their pool.
+    /// Notes on a gateway's calls, for the scheduler of their pool.
     PoolNotes {
         /// The service that the pool serves.
         service: String,
-        /// The calls that are over.
+        /// Notes on calls that ended.
         notes: Vec<CallNote>,
     },
-    /// All calls that a gateway has at the engines of a pool, for its scheduler.
+    /// All calls of a gateway that are running on engines of a pool, for its scheduler.
     PoolCalls {
         /// The service that the pool serves.
         service: String,
-        /// The calls.
+        /// The running calls.
         calls: Vec<RunningCall>,
     },
 }
 
-/// Asked.
+/// Requests.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// What a follower of the fleet's state lacks; held until there is something or the time is over.
+    /// Long poll for changes of the fleet's state since `known`.
     Follow {
-        /// What it has.
+        /// The state that the follower has.
         known: Known,
-        /// How long to hold the request, in milliseconds.
+        /// How long to hold the request without changes, in milliseconds.
         hold_ms: u64,
-        /// A store that follows says who it is, so that it is heard.
+        /// Whether the follower is a record store, for which the poll is a heartbeat.
         is_store: bool,
     },
-    /// A command for the leader to commit.
+    /// Commits a command; for the leader.
     Submit(Command),
-    /// The routing table in force, confirmed by a quorum.
+    /// Linearizable read of the routing table in force.
     ReadRouting,
-    /// The version of the routing table in force, confirmed by a quorum.
+    /// Linearizable read of the version of the routing table in force.
     ReadRoutingVersion,
-    /// A controller wants to take part.
+    /// A controller asks to be admitted to the group.
     Join {
-        /// Its incarnation.
+        /// The incarnation of its disk.
         incarnation: u64,
     },
-    /// Which incarnation of the asker is known.
+    /// Asks which incarnation of the sender is a member of the group.
     KnownIncarnation,
-    /// A store with records has read from enough others.
+    /// A store has caught up on partitions that it joins.
     CaughtUp {
-        /// The life of its disk.
+        /// The incarnation of its disk.
         incarnation: u64,
-        /// What it has read enough of.
+        /// The partitions.
         partitions: Vec<PartitionId>,
     },
-    /// Something for a store.
+    /// A request to a record store.
     Records(RecordRequest),
-    /// A gateway's calls at servers, and what the others have there.
+    /// Reports a gateway's load and asks for that of the other gateways.
     ShareLoad(LoadReport),
-    /// A gateway's use of tenants' permits, for the leader.
+    /// Reports a gateway's use of tenants' permits; for the leader.
     Quota(QuotaReport),
-    /// A call wants an engine of a pool; held for a while if none has room.
+    /// Asks the scheduler of a pool for an engine; held for a while if none has capacity.
     Schedule {
         /// The service that the pool serves.
         service: String,
-        /// What it needs.
+        /// Resources needed by the call.
         demand: CallDemand,
     },
 }
 
-/// A request to a store with records.
+/// A request to a record store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct RecordRequest {
-    /// The life of the disk that the asker means.
+    /// The expected incarnation of the store's disk.
     pub incarnation: u64,
-    /// The partition that it is about.
+    /// The partition.
     pub partition: PartitionId,
-    /// The epoch of the asker's view of that partition.
+    /// The epoch of the sender's view of the partition.
     pub epoch: u64,
-    /// What is asked.
+    /// The operation.
     pub operation: RecordOperation,
 }
 
-/// What a store with records can do.
+/// An operation of a record store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RecordOperation {
-    /// Write a record down; answered when it is on disk.
+    /// Writes a record; answered once it is on disk.
     Write {
         /// The record.
         record: Record,
-        /// What a server holds of the program's prompt now, to be remembered for its next call.
+        /// The prompt of the program that a server has cached now, as a hint for the next call.
         cached: Option<CachedPrompt>,
     },
-    /// Read a turn with its chain.
+    /// Reads a turn with its chain.
     Chain {
-        /// The turn.
+        /// Id of the turn.
         id: String,
     },
-    /// Read a piece of everything.
+    /// Reads a page of all records of the partition.
     Export {
-        /// Where to go on.
+        /// Where the page starts.
         cursor: ExportCursor,
     },
 }
 
-/// A store's answer.
+/// A reply of a record store.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub enum RecordReply {
     /// The record is on disk.
     Written {
-        /// For a reservation: all of the program's.
+        /// For a reservation: all reservations of the program.
         reserved: Vec<Reserved>,
-        /// For a reservation: what servers hold of the program's prompts, as far as is remembered.
+        /// For a reservation: known cached prompts of the program.
         cached: Vec<CachedPrompt>,
     },
     /// The chain, oldest first.
     Chain(Vec<Turn>),
-    /// The chain isn't whole here.
-    NoChain(ChainError),
-    /// A piece of everything.
+    /// The chain is incomplete on this store.
+    #[serde(rename = "NoChain")]
+    IncompleteChain(ChainError),
+    /// A page of records.
     Page(ExportPage),
-    /// The asker's view is older than the store's, or means another life of its disk.
-    OtherView,
-    /// The disk doesn't take it.
+    /// The sender's view is older than the store's, or names another incarnation of its disk.
+    #[serde(rename = "OtherView")]
+    StaleView,
+    /// The disk failed or is overloaded.
     Unavailable,
-    /// There is no room for more programs; nothing was written.
+    /// The store accepts no new programs; nothing was written.
     Full,
 }
 
-/// Answered.
+/// Replies.
 #[derive(Debug, Serialize, Deserialize)]
 pub enum PeerReply {
-    /// What the follower lacked.
+    /// Changes since the follower's state.
     Update {
-        /// The news, which may be empty.
+        /// The changes, possibly empty.
         update: Box<FleetUpdate>,
-        /// The controllers, to ask others when this one falls silent.
+        /// All controllers, for failover.
         controllers: Vec<NodeId>,
-        /// Whether this controller has all that was committed until lately.
+        /// Whether this controller is up to date with recently committed entries.
         is_fresh: bool,
-        /// When the routing table was surely the newest; none if that isn't known.
+        /// Proof that the routing table was the newest at some time; none if unknown.
         proof: Option<RoutingProof>,
     },
     /// The command is committed.
@@ -216,30 +219,31 @@
     Routing(Option<RoutingInForce>),
     /// The version of the routing table in force; none before the first.
     RoutingVersion(Option<u64>),
-    /// The controller takes part, or will.
+    /// The controller is a member of the group, or is being admitted.
     Joining,
-    /// The known incarnation; none if the asker is unknown.
+    /// The incarnation known to the group; none if the sender is not a member.
     Incarnation(Option<u64>),
-    /// Not the leader; who may be.
+    /// Not the leader, with the presumed leader.
     NotLeader(Option<NodeId>),
-    /// Whether it was done is not certain.
-    Unsure,
-    /// Of a store.
+    /// The outcome is unknown.
+    #[serde(rename = "Unsure")]
+    OutcomeUnknown,
+    /// A reply of a record store.
     Records(RecordReply),
-    /// The calls of all other gateways at servers.
+    /// Load of all other gateways.
     OthersLoad(LoadReport),
-    /// What a gateway may use of tenants' permits.
+    /// The tenants' permits granted to a gateway.
     Quota(QuotaAnswer),
-    /// What the scheduler of a pool says to a call.
+    /// The verdict of a pool's scheduler on a call.
     Scheduled {
-        /// The life of the scheduler.
+        /// The incarnation of the scheduler.
         incarnation: u64,
-        /// What it says.
+        /// The verdict.
         verdict: Verdict,
-        /// What decided it.
+        /// The inputs of the decision.
         inputs: DecisionInputs,
     },
-    /// The routing table in force here has no such pool.
+    /// The routing table on this controller has no such pool.
     UnknownPool,
 }
 
--- a/crates/courseshed-edge/src/records/catch_up.rs
+++ b/crates/courseshed-edge/src/records/catch_up.rs
@@ -55,7 +55,7 @@
             log::info!(event = "caught_up", partitions:? = caught_up, revision = records.revision(); "the store has read enough of partitions that it joins");
             let control = &catch_up.control;
             control
-                .tell_caught_up(catch_up.incarnation, &caught_up)
+                .report_caught_up(catch_up.incarnation, &caught_up)
                 .await;
         }
         let _ = timeout(PAUSE, watch.changed()).await;
--- a/crates/courseshed-edge/src/records/client.rs
+++ b/crates/courseshed-edge/src/records/client.rs
@@ -288,7 +288,7 @@
             let mut misses = MissTally::new(view);
             move |node, reply| match reply {
                 RecordReply::Chain(turns) => Some(kept(turns)),
-                RecordReply::NoChain(ChainError::Missing { .. }) => {
+                RecordReply::IncompleteChain(ChainError::Missing { .. }) => {
                     misses.on_missing(node).then_some(ChainLookup::Unknown)
                 }
                 _ => None,
--- a/crates/courseshed-edge/src/records/disk.rs
+++ b/crates/courseshed-edge/src/records/disk.rs
@@ -138,7 +138,7 @@
                         .entry(partition)
                         .or_insert_with(|| self.store.epoch(partition));
                     if !self.is_for_us(&request, *epoch) {
-                        reply.send(PeerReply::Records(RecordReply::OtherView));
+                        reply.send(PeerReply::Records(RecordReply::StaleView));
                         continue;
                     }
                     if request.epoch > *epoch {
@@ -198,7 +198,7 @@
             }
             RecordOperation::Chain { id } => match self.store.chain(partition, &id) {
                 Ok(chain) => RecordReply::Chain(chain),
-                Err(ReadError::Chain { source }) => RecordReply::NoChain(source),
+                Err(ReadError::Chain { source }) => RecordReply::IncompleteChain(source),
                 Err(ReadError::File { source }) => {
                     log::error!(event = "read_failed", turn = id.as_str(), partition = partition.0; "{source}");
                     RecordReply::Unavailable
--- a/crates/courseshed-edge/tests/controllers.rs
+++ b/crates/courseshed-edge/tests/controllers.rs
@@ -31,7 +31,7 @@
             .controller
             .replace_routing(table(5), Bytes::new())
             .await;
-        assert_eq!(refused, Err(ControlError::Unsure));
+        assert_eq!(refused, Err(ControlError::OutcomeUnknown));
         assert!(!fleet.controller.hears_a_leader());
         fleet.disk_faults.set(DiskFault::None);
         until(async || {
--- a/crates/courseshed-edge/tests/lagging_controller.rs
+++ b/crates/courseshed-edge/tests/lagging_controller.rs
@@ -275,7 +275,7 @@
     fleet.leader.commit(2);
     until(async || !fleet.controller.hears_a_leader()).await;
     let unsure = fleet.controller.retirement("store-1");
-    assert_eq!(unsure, Err(ControlError::Unsure));
+    assert_eq!(unsure, Err(ControlError::OutcomeUnknown));
     fleet.let_catch_up();
     until(async || fleet.controller.hears_a_leader()).await;
     let known = fleet.controller.retirement("store-1");
