--- a/crates/courseshed-edge/src/records/catch_up.rs
+++ b/crates/courseshed-edge/src/records/catch_up.rs
@@ -1,4 +1,4 @@
-//! A store that joins reads all that is kept from enough of the others before it counts.
+//! Catch-up of a joining store: it copies a partition from enough replicas before it counts for quorums.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,8 +7,8 @@
 use courseshed_types::{NodeId, ZoneMap};
 use tokio::time::{sleep, timeout};
 
-use super::ask_order::order_of_sources;
 use super::disk::Disk;
+use super::query_order::order_of_sources;
 use crate::control_client::ControlClient;
 use crate::follower::FleetFollower;
 use crate::peers::Peers;
@@ -16,14 +16,14 @@
     PeerAddresses, PeerPort, PeerReply, PeerRequest, RecordOperation, RecordReply, RecordRequest,
 };
 
-const PAUSE: Duration = Duration::from_millis(200);
-const PAGE_LIMIT: Duration = Duration::from_secs(2);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
+const PAGE_TIMEOUT: Duration = Duration::from_secs(2);
 
 pub(super) struct CatchUp {
     pub node: NodeId,
-    /// Where this store stands.
+    /// The zone of this store.
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
     pub incarnation: u64,
     pub peers: Arc<Peers>,
@@ -33,7 +33,7 @@
     pub disk: Disk,
 }
 
-/// Catches up whenever a view says that this store is joining a partition.
+/// Catches up on each partition that lists this store as joining.
 pub(super) async fn run(catch_up: CatchUp) {
     let mut watch = catch_up.follower.watch();
     loop {
@@ -41,29 +41,29 @@
         let joining = catch_up.joining(&records);
         if joining.is_empty() {
             if watch.changed().await.is_err() {
-                sleep(PAUSE).await;
+                sleep(RETRY_DELAY).await;
             }
             continue;
         }
         let mut caught_up = Vec::new();
         for partition in joining {
-            if catch_up.read_from_enough(partition, &records).await {
+            if catch_up.read_from_sources(partition, &records).await {
                 caught_up.push(partition);
             }
         }
         if !caught_up.is_empty() {
-            log::info!(event = "caught_up", partitions:? = caught_up, revision = records.revision(); "the store has read enough of partitions that it joins");
+            log::info!(event = "caught_up", partitions:? = caught_up, revision = records.revision(); "the store has caught up on partitions that it joins");
             let control = &catch_up.control;
             control
                 .report_caught_up(catch_up.incarnation, &caught_up)
                 .await;
         }
-        let _ = timeout(PAUSE, watch.changed()).await;
+        let _ = timeout(RETRY_DELAY, watch.changed()).await;
     }
 }
 
 impl CatchUp {
-    /// The partitions that this store joins and does not count for yet.
+    /// The partitions of which this store is an inactive member.
     fn joining(&self, records: &PartitionMap) -> Vec<PartitionId> {
         let is_joining = |view: &RecordView| {
             view.member(self.node)
@@ -73,17 +73,17 @@
         joining.map(|(partition, _)| partition).collect()
     }
 
-    async fn read_from_enough(&self, partition: PartitionId, records: &PartitionMap) -> bool {
+    async fn read_from_sources(&self, partition: PartitionId, records: &PartitionMap) -> bool {
         let view = records.view(partition);
-        let mut missing = view.sources_needed();
+        let mut remaining = view.sources_needed();
         for source in order_of_sources(view, &self.zones, &self.zone) {
-            if missing > 0 && self.read_from(partition, view.epoch, source).await {
-                missing -= 1;
+            if remaining > 0 && self.read_from(partition, view.epoch, source).await {
+                remaining -= 1;
             }
         }
-        // With a newer view others may be needed: the store begins again.
+        // A newer view may require other sources, so the catch-up must be repeated.
         let newest = self.follower.view().records;
-        missing == 0 && newest.view(partition).epoch == view.epoch
+        remaining == 0 && newest.view(partition).epoch == view.epoch
     }
 
     async fn read_from(&self, partition: PartitionId, epoch: u64, source: &RecordMember) -> bool {
@@ -98,7 +98,7 @@
                 operation: RecordOperation::Export { cursor },
             };
             let request = PeerRequest::Records(request);
-            let reply = self.peers.request(source.node, request, PAGE_LIMIT).await;
+            let reply = self.peers.request(source.node, request, PAGE_TIMEOUT).await;
             let Ok(PeerReply::Records(RecordReply::Page(page))) = reply else {
                 return false;
             };
--- a/crates/courseshed-edge/src/records/client.rs
+++ b/crates/courseshed-edge/src/records/client.rs
@@ -1,7 +1,7 @@
-//! Reading and writing records on a quorum of stores.
+//! Reads and writes records on a quorum of stores.
 //!
-//! What belongs to a program is in the program's partition. A turn may go on from one of another
-//! program: it is then kept where that one is, so that a chain is always whole in one partition.
+//! The records of a program are in the program's partition. A turn that continues a turn of another
+//! program is stored in the partition of that turn, so that a chain is always in a single partition.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -19,56 +19,54 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::ask_order::AskOrder;
-use super::outages::{Outages, Outlook};
+use super::outages::{OutageDecision, Outages};
+use super::query_order::QueryOrder;
 use crate::follower::FleetFollower;
 use crate::peers::Peers;
 use crate::protocol::{
     PeerAddresses, PeerPort, PeerReply, PeerRequest, RecordOperation, RecordReply, RecordRequest,
 };
 
-/// How long one round over the stores may take.
-const ROUND_LIMIT: Duration = Duration::from_millis(700);
-/// Pause before another round, in which a newer view may arrive.
-const ROUND_PAUSE: Duration = Duration::from_millis(40);
-/// How long one store is waited for before all are asked for a chain: many times what an answer
-/// takes (1 to 5 ms between zones), and little of the time that a turn has.
-const NEAREST_LIMIT: Duration = Duration::from_millis(60);
-/// How long the replicas of the own region are waited for before those of other regions are asked: many
-/// times what a round among them takes (1 to 10 ms), and no longer than one round between regions
-/// (60 ms), so that asking the others late costs a call no more than asking them costs anyway.
-const NEAR_LIMIT: Duration = Duration::from_millis(50);
+/// Timeout of one round of queries.
+const ROUND_TIMEOUT: Duration = Duration::from_millis(700);
+/// Delay before another round, in which a newer view may arrive.
+const ROUND_DELAY: Duration = Duration::from_millis(40);
+/// Timeout for reading a chain from the nearest replica, after which all replicas are queried.
+const NEAREST_REPLICA_TIMEOUT: Duration = Duration::from_millis(60);
+/// How long replicas of the own region are waited for before those of other regions are queried: above the
+/// round-trip time within a region, and at most the round-trip time between regions.
+const LOCAL_REPLICAS_TIMEOUT: Duration = Duration::from_millis(50);
 
-/// Why records could not be read or written. What was to be written may stand.
+/// Errors from reading or writing records. A failed write may have taken effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 pub enum RecordsUnavailable {
     /// No quorum of stores answered in time.
     #[snafu(display("no quorum of the record stores answered in time"))]
     NoQuorum,
-    /// So many stores have no room for more programs that no quorum is left.
+    /// Too many stores are full for a quorum to accept a new program.
     #[snafu(display("the record stores have no room for more programs"))]
     NoRoom,
 }
 
-/// What is known of a turn.
+/// The result of looking up a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainLookup {
-    /// It and all that it goes on from.
+    /// The turn and its predecessors.
     Kept(KeptChain),
-    /// It was never kept, or is kept no longer.
+    /// The turn was never stored, or has expired.
     Unknown,
 }
 
-/// A turn with all that it goes on from.
+/// A turn with its predecessors.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct KeptChain {
-    /// Where it is kept, and what goes on from it is to be kept.
+    /// The partition of the chain, in which turns that continue it must be stored.
     pub partition: PartitionId,
     /// The turns, oldest first.
     pub turns: Vec<Turn>,
 }
 
-/// A client of the stores in the views in force.
+/// Client of the stores of the current partition views.
 #[derive(Clone)]
 pub struct RecordClient {
     peers: Arc<Peers>,
@@ -79,26 +77,26 @@
     outages: Arc<Mutex<Outages>>,
 }
 
-/// How long stores without a quorum are waited for.
+/// How long to wait for a partition without a quorum.
 #[derive(Clone, Copy, Debug)]
-enum Patience {
-    /// To the end: what is written down is of work that was done.
+enum WaitPolicy {
+    /// Until the deadline: the record describes completed work.
     UntilDeadline(Instant),
-    /// As long as the outage is likely to be over in time: nothing was done yet, and a caller who
-    /// knows early may come back.
-    WhileLikely(Instant),
+    /// While the outage is expected to end before the deadline: no work was done yet, and a client that
+    /// is refused early can retry.
+    WhileEndExpected(Instant),
 }
 
-impl Patience {
+impl WaitPolicy {
     fn deadline(self) -> Instant {
         match self {
-            Self::UntilDeadline(deadline) | Self::WhileLikely(deadline) => deadline,
+            Self::UntilDeadline(deadline) | Self::WhileEndExpected(deadline) => deadline,
         }
     }
 }
 
 impl RecordClient {
-    /// A client of a node in a zone.
+    /// Creates a client for a node in a zone.
     #[must_use]
     pub fn new(
         peers: Arc<Peers>,
@@ -117,11 +115,12 @@
         }
     }
 
-    /// Sets tokens of a program aside, until a deadline. Tells with the decision what servers hold of
-    /// the program's prompts, as far as the stores remember.
+    /// Reserves tokens of a program's budget. Returns the decision, and which servers hold cached prompts of
+    /// the program, as far as known to the stores.
     ///
     /// # Errors
-    /// [`RecordsUnavailable`]: the reservation may stand, and counts at its most until it is settled.
+    /// Returns [`RecordsUnavailable`] if no quorum answered. The reservation may have taken effect, and then
+    /// counts in full until it is settled.
     pub async fn reserve(
         &self,
         reservation: Reservation,
@@ -141,24 +140,22 @@
             cached: None,
         };
         let own = (reservation.id, reservation.most);
-        let patience = Patience::WhileLikely(deadline);
-        self.in_rounds(partition, &operation, patience, |view| {
+        let policy = WaitPolicy::WhileEndExpected(deadline);
+        self.run_rounds(partition, &operation, policy, |view| {
             let mut tally = ReservationTally::new(view, own.0, own.1, budget);
-            let mut replicas_to_spare = view.members.len() - view.quorum();
-            let mut hints: Vec<CachedPrompt> = Vec::new();
+            let mut spare_replicas = view.members.len() - view.quorum();
+            let mut cached_prompts: Vec<CachedPrompt> = Vec::new();
             move |node, reply| match reply {
                 RecordReply::Written { reserved, cached } => {
-                    if cached.len() >= hints.len() {
-                        hints = cached;
+                    if cached.len() >= cached_prompts.len() {
+                        cached_prompts = cached;
                     }
                     let decision = tally.on_reserved(node, &reserved)?;
-                    Some(Ok((decision, std::mem::take(&mut hints))))
-                }
-                RecordReply::Full if replicas_to_spare == 0 => {
-                    Some(Err(RecordsUnavailable::NoRoom))
+                    Some(Ok((decision, std::mem::take(&mut cached_prompts))))
                 }
+                RecordReply::Full if spare_replicas == 0 => Some(Err(RecordsUnavailable::NoRoom)),
                 RecordReply::Full => {
-                    replicas_to_spare -= 1;
+                    spare_replicas -= 1;
                     None
                 }
                 _ => None,
@@ -167,7 +164,7 @@
         .await?
     }
 
-    /// Notes what a call was given. Nobody waits for it: a lost note leaves the call counted at its most.
+    /// Records the tokens that a call used, in the background. If this is lost, the reservation counts in full.
     pub fn settle(&self, settlement: Settlement) {
         let partition = PartitionId::of_program(&settlement.program);
         let record = Record::Settle {
@@ -178,14 +175,14 @@
         };
         let cached = settlement.cached;
         let client = self.clone();
-        let deadline = Instant::now() + ROUND_LIMIT;
+        let deadline = Instant::now() + ROUND_TIMEOUT;
         tokio::spawn(async move { client.write(partition, record, cached, deadline).await });
     }
 
-    /// Keeps a turn on a quorum of disks of a partition.
+    /// Stores a turn on a quorum of the replicas of a partition.
     ///
     /// # Errors
-    /// [`RecordsUnavailable`]: it may be kept or not.
+    /// Returns [`RecordsUnavailable`] if no quorum answered. The turn may have been stored.
     pub async fn keep(
         &self,
         partition: PartitionId,
@@ -197,8 +194,8 @@
         self.write(partition, record, None, deadline).await
     }
 
-    /// Where the first kept turn of a program goes when it comes in here: the program's partition, or another
-    /// one whose replicas are in this region. What goes on from it stays there.
+    /// The partition for the first turn of a program received by this node: the program's own partition if it is
+    /// local, else a local one. Turns that continue it stay in that partition.
     #[must_use]
     fn home_of(&self, program: &str) -> PartitionId {
         let records = self.follower.view().records;
@@ -206,11 +203,11 @@
     }
 
     fn is_local(&self, view: &RecordView) -> bool {
-        AskOrder::new(view, &self.zones, &self.zone).is_local(&self.zones, &self.zone)
+        QueryOrder::new(view, &self.zones, &self.zone).is_local(&self.zones, &self.zone)
     }
 
-    /// Where the first kept turn of a program goes that may be kept in some regions only: near, if that is one
-    /// of them. None if no partition has all its replicas there.
+    /// Like [`Self::home_of`] for turns restricted to some regions; prefers local partitions. None if no partition
+    /// has all its replicas in the allowed regions.
     #[must_use]
     pub fn home_within(&self, program: &str, homes: &HomeRegions) -> Option<PartitionId> {
         if !homes.is_restricted() {
@@ -223,7 +220,7 @@
         near.or_else(|| records.preferred(program, |view| self.is_within(view, homes)))
     }
 
-    /// Whether all replicas of a partition, those that join too, are where a call's turns may be kept.
+    /// Whether all replicas of a partition, including joining ones, are in the allowed regions.
     #[must_use]
     pub fn may_keep(&self, partition: PartitionId, homes: &HomeRegions) -> bool {
         let records = self.follower.view().records;
@@ -235,11 +232,12 @@
         !view.members.is_empty() && view.members.iter().all(is_allowed)
     }
 
-    /// Reads a turn with its chain for a program. It is where the program's first turn went, unless it is
-    /// a turn of another program or came in elsewhere: if it isn't there, all partitions are asked.
+    /// Reads a turn with its chain. Tries the program's home partition first, then all others, since the turn may
+    /// belong to another program or have been received in another region.
     ///
     /// # Errors
-    /// [`RecordsUnavailable`] when it was found nowhere, and too few stores say that they lack it.
+    /// Returns [`RecordsUnavailable`] if the turn was not found, but a partition had no quorum to confirm its
+    /// absence.
     pub async fn chain(
         &self,
         program: &str,
@@ -247,9 +245,9 @@
         deadline: Instant,
     ) -> Result<ChainLookup, RecordsUnavailable> {
         let home = self.home_of(program);
-        let at_home = self.chain_in(home, id, deadline).await?;
-        if matches!(at_home, ChainLookup::Kept(_)) {
-            return Ok(at_home);
+        let home_lookup = self.chain_in(home, id, deadline).await?;
+        if matches!(home_lookup, ChainLookup::Kept(_)) {
+            return Ok(home_lookup);
         }
         let others = PartitionId::all().filter(|partition| *partition != home);
         let mut lookups: FuturesUnordered<_> = others
@@ -266,7 +264,7 @@
         result
     }
 
-    /// Reads a chain of a partition: from one near store, and from all if it isn't whole there.
+    /// Reads a chain from a partition: from the nearest replica, or from all if it is not complete there.
     async fn chain_in(
         &self,
         partition: PartitionId,
@@ -278,13 +276,15 @@
         let records = self.follower.view().records;
         let view = records.view(partition);
         if let Some(nearest) = self.nearest(view, id) {
-            let asked = self.ask(partition, view, nearest, operation.clone());
-            if let Ok((_, Some(RecordReply::Chain(turns)))) = timeout(NEAREST_LIMIT, asked).await {
+            let asked = self.query(partition, view, nearest, operation.clone());
+            if let Ok((_, Some(RecordReply::Chain(turns)))) =
+                timeout(NEAREST_REPLICA_TIMEOUT, asked).await
+            {
                 return Ok(kept(turns));
             }
         }
-        let patience = Patience::WhileLikely(deadline);
-        self.in_rounds(partition, &operation, patience, |view| {
+        let policy = WaitPolicy::WhileEndExpected(deadline);
+        self.run_rounds(partition, &operation, policy, |view| {
             let mut misses = MissTally::new(view);
             move |node, reply| match reply {
                 RecordReply::Chain(turns) => Some(kept(turns)),
@@ -297,8 +297,8 @@
         .await
     }
 
-    /// A replica of the own zone, else of the own region, else any that counts: which one depends on the
-    /// turn alone, so that reads are spread.
+    /// The active replica of the own zone, else one of those at the smallest distance, selected by a hash of the
+    /// turn's id to spread reads.
     fn nearest<'a>(&self, view: &'a RecordView, id: &str) -> Option<&'a RecordMember> {
         let distance = |member: &RecordMember| self.zones.distance(&self.zone, &member.zone);
         let nearest = view.active().map(distance).min()?;
@@ -321,8 +321,8 @@
         deadline: Instant,
     ) -> Result<(), RecordsUnavailable> {
         let operation = RecordOperation::Write { record, cached };
-        let patience = Patience::UntilDeadline(deadline);
-        self.in_rounds(partition, &operation, patience, |view| {
+        let policy = WaitPolicy::UntilDeadline(deadline);
+        self.run_rounds(partition, &operation, policy, |view| {
             let mut tally = WriteTally::new(view);
             move |node, reply| match reply {
                 RecordReply::Written { .. } => tally.on_stored(node).then_some(()),
@@ -332,56 +332,55 @@
         .await
     }
 
-    /// Asks all stores of a partition, again and again with its newest view, until their answers
-    /// decide.
-    async fn in_rounds<T, D>(
+    /// Queries the stores of a partition in rounds, each with its newest view, until their answers decide.
+    async fn run_rounds<T, D>(
         &self,
         partition: PartitionId,
         operation: &RecordOperation,
-        patience: Patience,
+        policy: WaitPolicy,
         decide_for: impl Fn(&RecordView) -> D,
     ) -> Result<T, RecordsUnavailable>
     where
         D: FnMut(NodeId, RecordReply) -> Option<T>,
     {
-        let deadline = patience.deadline();
+        let deadline = policy.deadline();
         loop {
             let began = Instant::now();
-            let outlook = match patience {
-                Patience::UntilDeadline(_) => Outlook::Wait,
-                Patience::WhileLikely(_) => {
+            let decision = match policy {
+                WaitPolicy::UntilDeadline(_) => OutageDecision::Wait,
+                WaitPolicy::WhileEndExpected(_) => {
                     let mut outages = self.outages.lock();
-                    outages.outlook(partition, began, deadline)
+                    outages.decide(partition, began, deadline)
                 }
             };
-            if outlook == Outlook::Refuse {
+            if decision == OutageDecision::Refuse {
                 return Err(RecordsUnavailable::NoQuorum);
             }
             let records = self.follower.view().records;
-            let limit = ROUND_LIMIT.min(deadline.saturating_duration_since(began));
+            let limit = ROUND_TIMEOUT.min(deadline.saturating_duration_since(began));
             let decide = decide_for(records.view(partition));
             let round = self.round(&records, partition, operation, decide);
             match timeout(limit, round).await {
                 Ok(Some(decided)) => {
-                    self.outages.lock().note_answered(partition);
+                    self.outages.lock().record_answer(partition);
                     return Ok(decided);
                 }
-                // A round that was cut short by the call's own time says nothing of the stores.
-                Err(_) if limit < ROUND_LIMIT => {}
-                Ok(None) | Err(_) => self.note_failed(partition, began),
+                // A round cut short by the call's deadline is no evidence of an outage.
+                Err(_) if limit < ROUND_TIMEOUT => {}
+                Ok(None) | Err(_) => self.record_failure(partition, began),
             }
-            if outlook == Outlook::AskOnce || Instant::now() + ROUND_PAUSE >= deadline {
+            if decision == OutageDecision::Probe || Instant::now() + ROUND_DELAY >= deadline {
                 return Err(RecordsUnavailable::NoQuorum);
             }
-            sleep(ROUND_PAUSE).await;
+            sleep(ROUND_DELAY).await;
         }
     }
 
-    fn note_failed(&self, partition: PartitionId, began: Instant) {
-        if self.outages.lock().note_failed(partition, began) {
+    fn record_failure(&self, partition: PartitionId, began: Instant) {
+        if self.outages.lock().record_failure(partition, began) {
             let records = self.follower.view().records;
             let view = records.view(partition);
-            log::warn!(event = "no_quorum", partition = partition.0, epoch = view.epoch, members = view.members.len(), active = view.active().count(); "no quorum of a partition's stores answered");
+            log::warn!(event = "no_quorum", partition = partition.0, epoch = view.epoch, members = view.members.len(), active = view.active().count(); "no quorum of the stores of a record partition answered");
         }
     }
 
@@ -393,15 +392,15 @@
         mut decide: impl FnMut(NodeId, RecordReply) -> Option<T>,
     ) -> Option<T> {
         let view = records.view(partition);
-        let AskOrder { first, mut later } = AskOrder::new(view, &self.zones, &self.zone);
-        let ask = |member| self.ask(partition, view, member, operation.clone());
-        let mut answers: FuturesUnordered<_> = first.into_iter().map(ask).collect();
-        let ask_others_at = Instant::now() + NEAR_LIMIT;
+        let QueryOrder { first, mut later } = QueryOrder::new(view, &self.zones, &self.zone);
+        let query = |member| self.query(partition, view, member, operation.clone());
+        let mut answers: FuturesUnordered<_> = first.into_iter().map(query).collect();
+        let query_others_at = Instant::now() + LOCAL_REPLICAS_TIMEOUT;
         loop {
             let is_waiting = !later.is_empty();
             let answer = tokio::select! {
                 answer = answers.next() => answer,
-                () = sleep_until(ask_others_at), if is_waiting => None,
+                () = sleep_until(query_others_at), if is_waiting => None,
             };
             match answer {
                 Some((node, reply)) => {
@@ -409,13 +408,13 @@
                         return Some(decided);
                     }
                 }
-                None if is_waiting => answers.extend(later.drain(..).map(ask)),
+                None if is_waiting => answers.extend(later.drain(..).map(query)),
                 None => return None,
             }
         }
     }
 
-    async fn ask(
+    async fn query(
         &self,
         partition: PartitionId,
         view: &RecordView,
@@ -431,7 +430,10 @@
             operation,
         };
         let request = PeerRequest::Records(request);
-        let reply = self.peers.request(member.node, request, ROUND_LIMIT).await;
+        let reply = self
+            .peers
+            .request(member.node, request, ROUND_TIMEOUT)
+            .await;
         match reply {
             Ok(PeerReply::Records(reply)) => (member.node, Some(reply)),
             _ => (member.node, None),
@@ -439,28 +441,28 @@
     }
 }
 
-/// Tokens to be set aside for one call.
+/// A reservation of tokens for one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Reservation {
     /// The program.
     pub program: String,
-    /// Names the reservation among those of the program.
+    /// Id of the reservation, unique within the program.
     pub id: u64,
-    /// The most that the call may generate.
+    /// Maximum number of tokens that the call may generate.
     pub most: u32,
 }
 
-/// What a call was given of the tokens that were set aside for it.
+/// The settlement of a reservation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Settlement {
     /// The program.
     pub program: String,
-    /// Names the reservation among those of the program.
+    /// Id of the reservation, unique within the program.
     pub reservation: u64,
-    /// Tokens that it was given.
+    /// Number of tokens generated.
     pub given: u32,
-    /// How long the program is kept from now on, in milliseconds.
+    /// How long the program is retained from now on, in milliseconds.
     pub keep_ms: u64,
-    /// What the server that answered holds of the program's prompt now.
+    /// The prompt of the program now cached by the server that answered.
     pub cached: Option<CachedPrompt>,
 }
--- a/crates/courseshed-edge/src/records/disk.rs
+++ b/crates/courseshed-edge/src/records/disk.rs
@@ -1,4 +1,4 @@
-//! The thread that reads and writes a store's files.
+//! The disk thread of a store.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -17,40 +17,37 @@
 use crate::metrics::Metrics;
 use crate::protocol::{FleetProtocol, PeerReply, RecordOperation, RecordReply, RecordRequest};
 
-/// Requests taken in before one flush.
-const BATCH: usize = 512;
-/// Requests that may wait for the thread: several seconds of the busiest store that was played (some
-/// 600 a second), after which whoever asked has asked again or given up.
-const QUEUE: usize = 4096;
-/// Size of one piece of an export, in bytes.
+/// Maximum number of queued requests added to a batch, which is flushed once.
+const MAX_BATCH: usize = 512;
+/// Capacity of the request queue: several seconds of load, after which requests have timed out.
+const QUEUE_CAPACITY: usize = 4096;
+/// Size of an export page in bytes.
 const EXPORT_PAGE_BYTES: usize = 256 * 1024;
-/// How often what need not be kept is dropped, and the files' use is counted: it looks at all that is
-/// kept, some 10,000 entries, which takes a millisecond.
+/// How often expired entries are dropped and usage is computed. Each run scans all entries.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Pause between two pieces of the work that gives space back, so that requests come first.
-const CLEANING_PAUSE: Duration = Duration::from_millis(50);
-/// How often the log tells what is kept: often enough to see it grow in an incident of a minute,
-/// and a tenth of a line a second for a store.
+/// Delay between two steps of compaction, so that requests take precedence.
+const COMPACTION_DELAY: Duration = Duration::from_millis(50);
+/// How often the contents are logged.
 const REPORT_INTERVAL: Duration = Duration::from_secs(10);
 
-/// What the thread is asked.
+/// A request to the disk thread.
 enum DiskRequest {
-    /// A peer's request.
+    /// A request of a peer.
     Peer(Box<RecordRequest>, ReplySender<FleetProtocol>),
-    /// Records of a partition read from another store.
+    /// Records of a partition that were read from another store.
     Import(PartitionId, Vec<Record>, oneshot::Sender<bool>),
 }
 
-/// Hands requests to the thread, and never waits for it.
+/// Handle to the disk thread; never blocks.
 #[derive(Clone)]
 pub(super) struct Disk {
     requests: SyncSender<DiskRequest>,
 }
 
 impl Disk {
-    /// Starts the thread.
+    /// Starts the disk thread.
     pub(super) fn start(store: RecordStore, metrics: Arc<Metrics>) -> std::io::Result<Self> {
-        let (requests, received) = sync_channel(QUEUE);
+        let (requests, received) = sync_channel(QUEUE_CAPACITY);
         let now = Instant::now();
         let mut worker = DiskWorker {
             store,
@@ -66,7 +63,7 @@
         Ok(Self { requests })
     }
 
-    /// Has a peer's request answered; at once if the thread has fallen behind.
+    /// Enqueues a request of a peer; replies `Unavailable` immediately if the queue is full.
     pub(super) fn answer(&self, request: RecordRequest, reply: ReplySender<FleetProtocol>) {
         let sent = self
             .requests
@@ -80,12 +77,12 @@
         }
     }
 
-    /// Writes records down that another store has; whether that was done.
+    /// Writes records copied from another store; returns whether they were written.
     pub(super) async fn import(&self, partition: PartitionId, records: Vec<Record>) -> bool {
         let (done, written) = oneshot::channel();
         let request = DiskRequest::Import(partition, records, done);
         if let Err(error) = self.requests.try_send(request) {
-            log::warn!(event = "import_put_off", partition = partition.0; "the thread of the disk takes nothing: {error}");
+            log::warn!(event = "import_put_off", partition = partition.0; "cannot enqueue imported records: {error}");
             return false;
         }
         written.await.unwrap_or(false)
@@ -103,24 +100,24 @@
 
 impl DiskWorker {
     fn run(&mut self, requests: &Receiver<DiskRequest>) {
-        let mut is_cleaning = false;
+        let mut is_compacting = false;
         loop {
-            let wait = if is_cleaning {
-                CLEANING_PAUSE
+            let wait = if is_compacting {
+                COMPACTION_DELAY
             } else {
                 EXPIRY_INTERVAL
             };
             match requests.recv_timeout(wait) {
                 Ok(first) => {
                     let mut batch = vec![first];
-                    batch.extend(requests.try_iter().take(BATCH));
+                    batch.extend(requests.try_iter().take(MAX_BATCH));
                     self.serve(batch);
                 }
                 Err(RecvTimeoutError::Timeout) => {}
                 Err(RecvTimeoutError::Disconnected) => return,
             }
-            is_cleaning = self.tidy(is_cleaning);
-            self.report();
+            is_compacting = self.run_maintenance(is_compacting);
+            self.log_contents();
         }
     }
 
@@ -137,7 +134,7 @@
                     let epoch = epochs
                         .entry(partition)
                         .or_insert_with(|| self.store.epoch(partition));
-                    if !self.is_for_us(&request, *epoch) {
+                    if !self.matches_view(&request, *epoch) {
                         reply.send(PeerReply::Records(RecordReply::StaleView));
                         continue;
                     }
@@ -161,7 +158,7 @@
                     let entries = imported.map(|record| PartitionRecord { partition, record });
                     let is_written = !is_full && self.write(now, entries.collect());
                     if done.send(is_written).is_err() {
-                        log::warn!(event = "import_abandoned", partition = partition.0; "nobody waits for what was imported");
+                        log::warn!(event = "import_abandoned", partition = partition.0; "the import was abandoned before its result was returned");
                     }
                 }
             }
@@ -177,7 +174,7 @@
         }
     }
 
-    fn is_for_us(&self, request: &RecordRequest, epoch: u64) -> bool {
+    fn matches_view(&self, request: &RecordRequest, epoch: u64) -> bool {
         request.incarnation == self.store.incarnation() && request.epoch >= epoch
     }
 
@@ -194,7 +191,7 @@
         let partition = request.partition;
         match request.operation {
             RecordOperation::Write { record, cached } => {
-                self.answer_write(now, partition, record, cached)
+                self.reply_to_write(now, partition, record, cached)
             }
             RecordOperation::Chain { id } => match self.store.chain(partition, &id) {
                 Ok(chain) => RecordReply::Chain(chain),
@@ -219,7 +216,7 @@
         }
     }
 
-    fn answer_write(
+    fn reply_to_write(
         &mut self,
         now: u64,
         partition: PartitionId,
@@ -245,18 +242,18 @@
         }
     }
 
-    /// Drops what need not be kept, and gives space back; whether more of that is left to do.
-    fn tidy(&mut self, is_cleaning: bool) -> bool {
+    /// Drops expired entries and runs one step of compaction; returns whether more steps are due.
+    fn run_maintenance(&mut self, is_compacting: bool) -> bool {
         let now = time_of_day_ms();
         let is_due = self.expired_at.elapsed() >= EXPIRY_INTERVAL;
         if is_due {
             self.expired_at = Instant::now();
             self.store.expire(now);
             self.hints.expire(now);
-            self.tell_whether_full();
+            self.log_capacity_change();
             self.metrics.set_records(&self.store.figures());
         }
-        if !is_due && !is_cleaning {
+        if !is_due && !is_compacting {
             return false;
         }
         self.store.clean(now).unwrap_or_else(|error| {
@@ -265,22 +262,22 @@
         })
     }
 
-    fn tell_whether_full(&mut self) {
+    fn log_capacity_change(&mut self) {
         let is_full = self.store.is_full();
         if is_full != self.was_full {
             self.was_full = is_full;
             let figures = self.store.figures();
-            log::warn!(event = "room_changed", is_full, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes; "whether there is room for more programs");
+            log::warn!(event = "room_changed", is_full, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes; "the store started or stopped accepting new programs");
         }
     }
 
-    /// Tells now and then what is kept and what it takes.
-    fn report(&mut self) {
+    /// Logs the contents and their size once per interval.
+    fn log_contents(&mut self) {
         if self.reported_at.elapsed() < REPORT_INTERVAL {
             return;
         }
         self.reported_at = Instant::now();
         let figures = self.store.figures();
-        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.carried_bytes; "what the store keeps");
+        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.carried_bytes; "contents of the store");
     }
 }
--- a/crates/courseshed-edge/src/records/mod.rs
+++ b/crates/courseshed-edge/src/records/mod.rs
@@ -1,14 +1,14 @@
-//! Records of programs: the store that keeps them, and the client that reads and writes a quorum of stores.
+//! Records of programs: the store, and the client that reads and writes a quorum of stores.
 
-mod ask_order;
 mod catch_up;
 mod client;
 mod disk;
 mod outages;
+mod query_order;
 mod store;
 
-pub use ask_order::{AskOrder, order_of_sources};
 pub use client::{ChainLookup, RecordClient, RecordsUnavailable, Reservation, Settlement};
 pub use courseshed_records::StoreLimits;
-pub use outages::{Outages, Outlook};
+pub use outages::{OutageDecision, Outages};
+pub use query_order::{QueryOrder, order_of_sources};
 pub use store::{StoreError, StoreSettings, start};
--- a/crates/courseshed-edge/src/records/outages.rs
+++ b/crates/courseshed-edge/src/records/outages.rs
@@ -1,9 +1,8 @@
-//! Whether it is worth waiting for a partition that has no quorum of stores. Pure: times are passed in.
+//! Circuit breaker for partitions that have no quorum of stores. Pure: times are passed in.
 //!
-//! Nobody knows how long an outage will last. Of outages that have lasted for some time about half last
-//! as long again, so that is what is expected: a call is kept waiting as long as it has at least that
-//! much time left, and is refused at once beyond, with time to come back. A call now and then is let
-//! through to find out whether the outage is over.
+//! An outage is expected to last as long again as it has lasted. A call waits if its remaining time is at
+//! least that, and is refused immediately otherwise, so that its client can retry. One call per interval is
+//! let through as a probe.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -11,18 +10,17 @@
 use courseshed_records::PartitionId;
 use tokio::time::Instant;
 
-/// Pause between two calls that find out whether an outage is over: as often as a call that waits
-/// would ask about twice.
+/// Interval between probes of a partition.
 const PROBE_INTERVAL: Duration = Duration::from_millis(100);
 
-/// What to do with a call.
+/// The decision for a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Outlook {
-    /// The stores answer, or the outage is likely to be over in time.
+pub enum OutageDecision {
+    /// There is no outage, or it is expected to end before the deadline.
     Wait,
-    /// The outage is likely to outlast the call, which is to ask the stores once all the same.
-    AskOnce,
-    /// The outage is likely to outlast the call.
+    /// The outage is expected to outlast the call, which queries the stores once as a probe.
+    Probe,
+    /// The outage is expected to outlast the call.
     Refuse,
 }
 
@@ -32,20 +30,20 @@
     probed: Instant,
 }
 
-/// The partitions that have no quorum of stores, as one gateway sees them.
+/// The partitions without a quorum of stores, as seen by one gateway.
 #[derive(Clone, Debug, Default)]
 pub struct Outages {
     by_partition: BTreeMap<PartitionId, Outage>,
 }
 
 impl Outages {
-    /// Notes that a quorum of a partition's stores answered.
-    pub fn note_answered(&mut self, partition: PartitionId) {
+    /// Records that a quorum of a partition's stores answered.
+    pub fn record_answer(&mut self, partition: PartitionId) {
         self.by_partition.remove(&partition);
     }
 
-    /// Notes that no quorum answered a round that began at some time; true if that begins an outage.
-    pub fn note_failed(&mut self, partition: PartitionId, began: Instant) -> bool {
+    /// Records that a round which began at `began` got no quorum; returns whether an outage starts with it.
+    pub fn record_failure(&mut self, partition: PartitionId, began: Instant) -> bool {
         let is_new = !self.by_partition.contains_key(&partition);
         let outage = Outage {
             since: began,
@@ -55,19 +53,24 @@
         is_new
     }
 
-    /// Whether a call with a deadline is to wait for a partition.
-    pub fn outlook(&mut self, partition: PartitionId, now: Instant, deadline: Instant) -> Outlook {
+    /// Decides whether a call with a deadline waits for a partition.
+    pub fn decide(
+        &mut self,
+        partition: PartitionId,
+        now: Instant,
+        deadline: Instant,
+    ) -> OutageDecision {
         let Some(outage) = self.by_partition.get_mut(&partition) else {
-            return Outlook::Wait;
+            return OutageDecision::Wait;
         };
         let expected = now.saturating_duration_since(outage.since);
         if expected <= deadline.saturating_duration_since(now) {
-            return Outlook::Wait;
+            return OutageDecision::Wait;
         }
         if now.saturating_duration_since(outage.probed) < PROBE_INTERVAL {
-            return Outlook::Refuse;
+            return OutageDecision::Refuse;
         }
         outage.probed = now;
-        Outlook::AskOnce
+        OutageDecision::Probe
     }
 }
--- a/crates/courseshed-edge/src/records/ask_order.rs
+++ b/crates/courseshed-edge/src/records/query_order.rs
@@ -1,23 +1,23 @@
-//! Which replicas of a partition are asked at once, and which only when those don't decide. Pure.
+//! The order in which the replicas of a partition are queried. Pure.
 //!
-//! Any quorum decides, so replicas in another region need not hear of what the near ones agree on: the
-//! link between regions carries what only it can bring. What they were not told they lack like replicas
-//! that were down, which quorums allow for.
+//! If the local region holds a quorum, its replicas are queried first, and those of other regions only if
+//! these do not decide. This saves bandwidth between regions; replicas that miss a write are tolerated
+//! like replicas that were down.
 
 use courseshed_records::{RecordMember, RecordView};
 use courseshed_types::{Distance, ZoneMap};
 
-/// The replicas of a partition in the order in which they are asked.
+/// The replicas of a partition in query order.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct AskOrder<'a> {
-    /// Asked at once.
+pub struct QueryOrder<'a> {
+    /// Queried immediately.
     pub first: Vec<&'a RecordMember>,
-    /// Asked when the first have not decided after a while, or can't.
+    /// Queried if the first do not decide within a timeout, or at all.
     pub later: Vec<&'a RecordMember>,
 }
 
-impl<'a> AskOrder<'a> {
-    /// The order for a node in a zone: if the replicas of its region make a quorum, they come first.
+impl<'a> QueryOrder<'a> {
+    /// The query order for a node in `own_zone`.
     #[must_use]
     pub fn new(view: &'a RecordView, zones: &ZoneMap, own_zone: &str) -> Self {
         let is_near = |member: &&RecordMember| {
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Whether a quorum is in the node's own region.
+    /// Whether the node's own region holds a quorum.
     #[must_use]
     pub fn is_local(&self, zones: &ZoneMap, own_zone: &str) -> bool {
         let mut first = self.first.iter();
@@ -46,12 +46,11 @@
     }
 }
 
-/// Whom a joining replica in a zone reads from, in this order: what is read from another region takes the room of
-/// all that crosses over, so those of the own region come first.
+/// The order in which a joining replica in `own_zone` reads from other replicas: those of its own region first, to
+/// save bandwidth between regions.
 ///
-/// Replicas that have lost their place come last wherever they are: most lost it since they are silent, and each
-/// is waited for in vain for two seconds, for each partition. They stood in the zone of whoever took the place,
-/// so by distance alone they came first: after a loss of disks stores joined too late for programs to go on.
+/// Former replicas come last regardless of distance. Most were replaced because they stopped responding, and each
+/// costs a timeout per partition.
 #[must_use]
 pub fn order_of_sources<'a>(
     view: &'a RecordView,
--- a/crates/courseshed-edge/src/records/store.rs
+++ b/crates/courseshed-edge/src/records/store.rs
@@ -1,4 +1,4 @@
-//! A store: one replica of the records, on a machine with a disk.
+//! A record store: one replica of the records.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -21,51 +21,51 @@
 use crate::peers::{PeersError, start_peers};
 use crate::protocol::{FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerRequest};
 
-/// How often a store that isn't among the replicas says that it is there.
+/// How often a store that holds no replica registers again.
 const REGISTER_INTERVAL: Duration = Duration::from_secs(3);
 const REGISTER_RETRY: Duration = Duration::from_millis(200);
 
-/// How a store runs.
+/// Settings of a store.
 pub struct StoreSettings {
-    /// The machine.
+    /// The node of the store.
     pub node: NodeId,
-    /// The operator's name for it.
+    /// The name of the machine, as used by operators.
     pub name: String,
-    /// Where it stands.
+    /// The zone of the store.
     pub zone: String,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zones: Arc<ZoneMap>,
-    /// Where its records are kept.
+    /// Data directory.
     pub folder: PathBuf,
-    /// Machines with controllers.
+    /// Returns nodes that run controllers.
     pub seeds: Box<dyn Fn() -> Vec<NodeId> + Send + Sync>,
-    /// Where peers listen.
+    /// Maps nodes to peer addresses.
     pub addresses: PeerAddresses,
-    /// What it may use of the machine.
+    /// Limits on memory and disk usage.
     pub limits: StoreLimits,
-    /// The figures of the process.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
 }
 
-/// A store doesn't start.
+/// Errors from starting a store.
 #[derive(Debug, Snafu)]
 pub enum StoreError {
-    /// It can't speak to its peers.
+    /// The transport failed to start.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why not.
+        /// The cause.
         source: PeersError,
     },
-    /// Its folder can't be used.
+    /// The data directory cannot be opened.
     #[snafu(display("{source}"))]
     Journal {
-        /// Why not.
+        /// The cause.
         source: JournalError,
     },
-    /// Its thread can't be started.
-    #[snafu(display("can't start the thread of the disk: {source}"))]
+    /// The disk thread cannot be started.
+    #[snafu(display("cannot start the disk thread: {source}"))]
     Thread {
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
 }
@@ -84,19 +84,19 @@
     }
 }
 
-/// Starts a store; it runs until the process ends.
+/// Starts a store, which runs until the process exits.
 ///
 /// # Errors
-/// [`StoreError`] when the port or the folder can't be used.
+/// Returns [`StoreError`] if the port or the data directory cannot be used.
 pub fn start(settings: StoreSettings) -> Result<(), StoreError> {
     let incarnation_if_new = rand::rng().random_range(1..u64::MAX);
-    let begun = Instant::now();
+    let started = Instant::now();
     let now = time_of_day_ms();
     let opened = RecordStore::open(&settings.folder, incarnation_if_new, settings.limits, now);
     let store = opened.context(JournalSnafu)?;
     let incarnation = store.incarnation();
     let figures = store.figures();
-    log::info!(event = "store_opened", incarnation, turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, took_ms = begun.elapsed().as_millis() as u64; "the store is open");
+    log::info!(event = "store_opened", incarnation, turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, took_ms = started.elapsed().as_millis() as u64; "the store is open");
     let disk = Disk::start(store, settings.metrics).context(ThreadSnafu)?;
     let handler = Arc::new(StorePeers { disk: disk.clone() });
     let started = start_peers(settings.node, settings.addresses, PeerPort::Store, handler);
@@ -134,7 +134,7 @@
     Ok(())
 }
 
-/// Says that the store is there: at its start, and while it isn't among the replicas.
+/// Registers the store with the controllers, repeatedly while it holds no replica.
 async fn keep_registered(
     control: ControlClient,
     follower: Arc<FleetFollower>,
--- a/crates/courseshed-edge/tests/ask_order.rs
+++ b/crates/courseshed-edge/tests/ask_order.rs
@@ -1,6 +1,6 @@
 //! Which replicas of a partition are asked first.
 
-use courseshed_edge::records::{AskOrder, order_of_sources};
+use courseshed_edge::records::{QueryOrder, order_of_sources};
 use courseshed_records::{RecordMember, RecordView};
 use courseshed_types::{NodeId, ZoneMap};
 use yare::parameterized;
@@ -45,7 +45,7 @@
     later: &[u32],
 ) {
     let view = view(places, joining);
-    let order = AskOrder::new(&view, &zones(), "a1");
+    let order = QueryOrder::new(&view, &zones(), "a1");
     assert_eq!(nodes(&order.first), first);
     assert_eq!(nodes(&order.later), later);
 }
@@ -54,9 +54,9 @@
 fn a_view_is_local_where_its_quorum_is() {
     let zones = zones();
     let view = view(["a1", "a2", "a1", "a2", "b1"], None);
-    assert!(AskOrder::new(&view, &zones, "a2").is_local(&zones, "a2"));
-    assert!(!AskOrder::new(&view, &zones, "b1").is_local(&zones, "b1"));
-    assert!(!AskOrder::new(&RecordView::default(), &zones, "a1").is_local(&zones, "a1"));
+    assert!(QueryOrder::new(&view, &zones, "a2").is_local(&zones, "a2"));
+    assert!(!QueryOrder::new(&view, &zones, "b1").is_local(&zones, "b1"));
+    assert!(!QueryOrder::new(&RecordView::default(), &zones, "a1").is_local(&zones, "a1"));
 }
 
 /// Found by days on which stores lost their disks: the replica that had lost its place stood in the zone of the one
