--- a/crates/courseshed-edge/src/controller/admission.rs
+++ b/crates/courseshed-edge/src/controller/admission.rs
@@ -1,19 +1,19 @@
-//! Which controllers take part in the replicated log.
+//! Membership of controllers in the replicated log.
 //!
-//! Invariants: a disk that was lost never votes for what it promised before, since its controller
-//! comes back under a life of its own; a silent voter is taken out only for another machine, and
-//! only while enough others are left.
+//! Invariants: a controller that lost its disk cannot vote against its earlier promises, since it
+//! rejoins under a new incarnation; a silent voter is removed only to admit another controller, and only
+//! while enough voters remain.
 
 use courseshed_consensus::{Configuration, MembershipChange, ReplicaAddress, ReplicaId};
 
 use super::worker::Worker;
 use crate::protocol::{PeerReply, node_of};
 
-/// Fewest voters that may be left when a silent one is taken out.
-const FEWEST_VOTERS: usize = 3;
+/// Minimum number of voters after the removal of a silent one.
+const MIN_VOTERS: usize = 3;
 
 impl Worker {
-    /// Admits a controller: a new one, one that lost its disk, or one in place of a silent one.
+    /// Admits a controller that is new, lost its disk, or replaces a silent voter.
     pub(super) fn join(&mut self, address: ReplicaAddress) -> PeerReply {
         if !self.group.is_leader() {
             return self.not_leader();
@@ -29,7 +29,7 @@
         };
         if let Some(change) = change {
             let result = self.group.propose_membership(self.now(), change);
-            log::info!(event = "membership_change", change:? = change, accepted = result.is_ok(); "a controller asked to take part");
+            log::info!(event = "membership_change", change:? = change, accepted = result.is_ok(); "a controller asked to join the group");
         }
         PeerReply::Joining
     }
@@ -37,7 +37,7 @@
     fn silent_voter(&self, configuration: &Configuration) -> Option<ReplicaId> {
         let now = self.now();
         let housekeeper = self.housekeeper.as_ref()?;
-        if configuration.voters().count() <= FEWEST_VOTERS {
+        if configuration.voters().count() <= MIN_VOTERS {
             return None;
         }
         configuration
--- a/crates/courseshed-edge/src/controller/founding.rs
+++ b/crates/courseshed-edge/src/controller/bootstrap.rs
@@ -1,8 +1,7 @@
-//! Which controllers found the group, and how the others join it.
+//! Bootstrapping the controller group, and joining it.
 //!
-//! At the first start of the whole fleet the seeds found it, all from the same list. Whoever comes
-//! later, or comes back with an empty disk, asks to be admitted and never votes before: only a first
-//! start may found.
+//! At the first start of the fleet all seeds start with the same list of voters. A controller that is
+//! added later, or that restarts with an empty disk, asks to be admitted and does not vote before it is.
 
 use std::path::Path;
 use std::sync::Arc;
@@ -16,14 +15,18 @@
 use crate::clock::time_of_day_ms;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest, replica_of};
 
-/// The incarnation of all disks at the first start of the fleet.
+/// The incarnation of all disks at bootstrap.
 const FIRST_INCARNATION: u64 = 1;
-const JOIN_PAUSE: Duration = Duration::from_millis(300);
-const MEMBER_CHECK_PAUSE: Duration = Duration::from_millis(1000);
-const ASK_LIMIT: Duration = Duration::from_millis(700);
+const JOIN_RETRY_DELAY: Duration = Duration::from_millis(300);
+const MEMBERSHIP_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// The members that a first start begins with: the seeds, if this node is one of them.
-pub(super) fn founders(is_first_start: bool, node: NodeId, seeds: &[NodeId]) -> Configuration {
+/// The initial voters at bootstrap: the seeds, if this node is one of them.
+pub(super) fn initial_voters(
+    is_first_start: bool,
+    node: NodeId,
+    seeds: &[NodeId],
+) -> Configuration {
     if !is_first_start || !seeds.contains(&node) {
         return Configuration::default();
     }
@@ -31,7 +34,7 @@
     Configuration::of_voters(seeds.iter().map(address))
 }
 
-/// The incarnation of an empty disk: one that no earlier disk of this node had.
+/// Chooses the incarnation of an empty disk, higher than that of any earlier disk of this node.
 pub(super) async fn choose_incarnation(
     shared: &Shared,
     addresses: PeerAddresses,
@@ -42,19 +45,20 @@
     if is_first_start || DiskLog::is_kept_in(folder) {
         return FIRST_INCARNATION;
     }
-    log::info!(event = "empty_disk"; "the disk is empty: asking which lives of it are known");
+    log::info!(event = "empty_disk"; "the disk is empty; asking the controllers for the last known incarnation of this node");
     loop {
         for controller in seeds() {
-            let reply = ask(shared, addresses, controller, PeerRequest::KnownIncarnation).await;
+            let reply =
+                send_request(shared, addresses, controller, PeerRequest::KnownIncarnation).await;
             if let Some(PeerReply::Incarnation(known)) = reply {
                 return time_of_day_ms().max(known.unwrap_or(0) + 1);
             }
         }
-        sleep(JOIN_PAUSE).await;
+        sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
-/// Asks to be admitted whenever this controller is no voter of the group.
+/// Asks to be admitted whenever this controller is not a voter.
 pub(super) async fn keep_joined(
     shared: Arc<Shared>,
     addresses: PeerAddresses,
@@ -63,7 +67,7 @@
     loop {
         let published = shared.published();
         if published.is_voter && published.leader.is_some() {
-            sleep(MEMBER_CHECK_PAUSE).await;
+            sleep(MEMBERSHIP_CHECK_INTERVAL).await;
             continue;
         }
         let mut controllers: Vec<NodeId> = published.controllers.keys().copied().collect();
@@ -73,13 +77,14 @@
             let request = PeerRequest::Join {
                 incarnation: published.incarnation,
             };
-            match ask(&shared, addresses, controller, request).await {
+            match send_request(&shared, addresses, controller, request).await {
                 Some(PeerReply::Joining) => break,
                 Some(PeerReply::NotLeader(Some(leader))) if leader != shared.node() => {
                     let request = PeerRequest::Join {
                         incarnation: published.incarnation,
                     };
-                    if let Some(PeerReply::Joining) = ask(&shared, addresses, leader, request).await
+                    if let Some(PeerReply::Joining) =
+                        send_request(&shared, addresses, leader, request).await
                     {
                         break;
                     }
@@ -87,11 +92,11 @@
                 _ => {}
             }
         }
-        sleep(JOIN_PAUSE).await;
+        sleep(JOIN_RETRY_DELAY).await;
     }
 }
 
-async fn ask(
+async fn send_request(
     shared: &Shared,
     addresses: PeerAddresses,
     controller: NodeId,
@@ -102,5 +107,8 @@
     }
     let peers = shared.peers()?;
     peers.set_address(controller, addresses.of(controller, PeerPort::Controller));
-    peers.request(controller, request, ASK_LIMIT).await.ok()
+    peers
+        .request(controller, request, REQUEST_TIMEOUT)
+        .await
+        .ok()
 }
--- a/crates/courseshed-edge/src/controller/handle.rs
+++ b/crates/courseshed-edge/src/controller/handle.rs
@@ -1,4 +1,4 @@
-//! What the rest of the process may ask of its controller.
+//! The handle to a controller, and the state shared by its threads and tasks.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -24,34 +24,33 @@
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
 
-/// How long a caller waits before it is told that nothing is certain. Callers try another controller
-/// after a second of silence.
-const SUBMIT_LIMIT: Duration = Duration::from_millis(900);
-const RETRY_PAUSE: Duration = Duration::from_millis(50);
-/// A controller whose state is older than this may not say that nothing is new.
-pub(super) const FRESH_LIMIT: Duration = Duration::from_millis(600);
+/// Timeout of requests to the leader. Below the 1 s after which clients try another controller.
+const REQUEST_TIMEOUT: Duration = Duration::from_millis(900);
+const RETRY_DELAY: Duration = Duration::from_millis(50);
+/// Age of the state up to which a controller counts as up to date.
+pub(super) const MAX_STATE_AGE: Duration = Duration::from_millis(600);
 
-/// Why a controller can't do what it was asked.
+/// Errors of requests to a controller.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ControlError {
-    /// It may have been done, or not: ask again, here or elsewhere.
+    /// The outcome is unknown; the request may be retried on any controller.
     #[snafu(display("not certain; ask again"))]
     OutcomeUnknown,
-    /// No machine of that name is known.
+    /// No machine has that name.
     #[snafu(display("no machine of that name is known"))]
     UnknownMachine,
-    /// No zone of that name is known.
+    /// No zone has that name.
     #[snafu(display("no zone of that name is known"))]
     UnknownZone,
-    /// Too few machines would remain.
+    /// Too few machines would remain for the configured replication.
     #[snafu(display("too few machines would remain"))]
     TooFew,
-    /// There is no routing table yet.
+    /// No routing table was set yet.
     #[snafu(display("no routing table was accepted yet"))]
     NoRouting,
 }
 
-/// What the worker shows of the replica.
+/// The state of the replica as published by the worker.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Published {
     pub state: Arc<FleetState>,
@@ -59,22 +58,22 @@
     pub is_voter: bool,
     pub is_leader: bool,
     pub leader: Option<NodeId>,
-    /// The controllers, with the lives of their disks.
+    /// The controllers with the incarnations of their disks.
     pub controllers: BTreeMap<NodeId, u64>,
-    /// Up to when the state holds all that was committed; none if that was never known.
+    /// Time up to which the state is known to be complete; none if it never was.
     pub current_as_of: Option<Duration>,
 }
 
-/// What is read of the state once a quorum has confirmed it.
+/// The kinds of linearizable reads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Reading {
+pub(crate) enum ReadKind {
     /// The routing table.
     Routing,
-    /// Its version alone.
+    /// The version of the routing table.
     RoutingVersion,
 }
 
-/// What the worker is told.
+/// Inputs of the worker.
 pub(crate) enum Input {
     Consensus(Message),
     Submit {
@@ -82,7 +81,7 @@
         reply: oneshot::Sender<PeerReply>,
     },
     Read {
-        wanted: Reading,
+        kind: ReadKind,
         reply: oneshot::Sender<PeerReply>,
     },
     Join {
@@ -90,7 +89,7 @@
         reply: oneshot::Sender<PeerReply>,
     },
     CaughtUp(Vec<CaughtUp>),
-    Heard {
+    Heartbeats {
         servers: Vec<String>,
         nodes: Vec<NodeId>,
     },
@@ -100,10 +99,10 @@
         report: QuotaReport,
         reply: oneshot::Sender<PeerReply>,
     },
-    HandOver,
+    TransferLeadership,
 }
 
-/// What the threads and tasks of a controller share.
+/// State shared by the threads and tasks of a controller.
 pub(crate) struct Shared {
     node: NodeId,
     clock: Clock,
@@ -111,14 +110,14 @@
     receiver: Mutex<Option<mpsc::Receiver<Input>>>,
     peers: Mutex<Option<Arc<Peers>>>,
     published: watch::Sender<Published>,
-    heard: Mutex<Heard>,
+    heartbeats: Mutex<Heartbeats>,
     load: Mutex<LoadBoard>,
     confirmations: Mutex<Confirmations>,
     tables: Mutex<RecentTables>,
 }
 
 #[derive(Default)]
-pub(super) struct Heard {
+pub(super) struct Heartbeats {
     pub(super) servers: BTreeSet<String>,
     pub(super) nodes: BTreeSet<NodeId>,
 }
@@ -133,19 +132,19 @@
             receiver: Mutex::new(Some(receiver)),
             peers: Mutex::new(None),
             published: watch::channel(Published::default()).0,
-            heard: Mutex::default(),
+            heartbeats: Mutex::default(),
             load: Mutex::default(),
             confirmations: Mutex::default(),
             tables: Mutex::default(),
         }
     }
 
-    /// Notes that a version of the routing table was the newest at a time or later.
-    pub(crate) fn note_confirmed(&self, at: Duration, version: Option<u64>) {
+    /// Records that a version of the routing table was the newest at `at` or later.
+    pub(crate) fn record_confirmed(&self, at: Duration, version: Option<u64>) {
         self.confirmations.lock().note(at, version);
     }
 
-    /// What is certain of a state's routing table, for a question that arrived at a time.
+    /// The proof for a state's routing table, for a request that arrived at `arrived`.
     pub(crate) fn proof_of(&self, state: &FleetState, arrived: Duration) -> Option<RoutingProof> {
         let held = state.routing().map(|routing| routing.table.version);
         self.confirmations.lock().proof(held, arrived)
@@ -171,7 +170,7 @@
         self.receiver.lock().take()
     }
 
-    pub(crate) fn tell(&self, input: Input) {
+    pub(crate) fn send_input(&self, input: Input) {
         let _ = self.inputs.send(input);
     }
 
@@ -179,7 +178,7 @@
         self.published.borrow().clone()
     }
 
-    /// The state that is shown now.
+    /// The published state.
     pub(crate) fn state(&self) -> Arc<FleetState> {
         self.published.borrow().state.clone()
     }
@@ -188,7 +187,7 @@
         self.published.subscribe()
     }
 
-    /// What a follower lacks of a state.
+    /// Changes from a follower's known state to `state`.
     pub(crate) fn update_for(&self, state: &FleetState, known: Known) -> FleetUpdate {
         let mut update = state.update_for(known);
         if known.takes_parts {
@@ -197,37 +196,37 @@
         update
     }
 
-    pub(crate) fn publish(&self, published: Published, is_news: bool) {
+    pub(crate) fn publish(&self, published: Published, has_changes: bool) {
         if let Some(routing) = published.state.routing() {
             self.tables.lock().push(&routing.table);
         }
         self.published.send_if_modified(|held| {
             *held = published;
-            is_news
+            has_changes
         });
     }
 
-    /// Whether the state holds all that was committed until lately, so that its lack of news is one.
+    /// Whether the state contains everything committed until [`MAX_STATE_AGE`] ago.
     ///
-    /// It isn't enough to have heard the leader: a controller that returns from behind a cut hears it at once, and
-    /// would keep its followers from what it lacks itself.
+    /// Contact with the leader is not sufficient: after a network partition a controller hears the leader before it
+    /// has caught up.
     pub(crate) fn is_fresh(&self) -> bool {
         let published = self.published.borrow();
         let age = published
             .current_as_of
             .map(|at| self.clock.now().saturating_sub(at));
-        published.leader.is_some() && age.is_some_and(|age| age < FRESH_LIMIT)
+        published.leader.is_some() && age.is_some_and(|age| age < MAX_STATE_AGE)
     }
 
-    pub(crate) fn hear_node(&self, node: NodeId) {
-        self.heard.lock().nodes.insert(node);
+    pub(crate) fn record_node_heartbeat(&self, node: NodeId) {
+        self.heartbeats.lock().nodes.insert(node);
     }
 
-    pub(crate) fn hear_server(&self, id: String) {
-        self.heard.lock().servers.insert(id);
+    pub(crate) fn record_server_heartbeat(&self, id: String) {
+        self.heartbeats.lock().servers.insert(id);
     }
 
-    /// Takes in a gateway's calls, and returns those of all others.
+    /// Records a gateway's load and returns that of all others.
     pub(crate) fn exchange_load(&self, gateway: NodeId, report: LoadReport) -> LoadReport {
         let now = self.clock.now();
         let mut board = self.load.lock();
@@ -235,25 +234,25 @@
         board.all_but(now, gateway)
     }
 
-    /// Takes in the calls of the gateways that follow another controller.
-    pub(crate) fn note_controller_load(&self, controller: NodeId, report: LoadReport) {
+    /// Records the load of gateways that follow another controller.
+    pub(crate) fn record_controller_load(&self, controller: NodeId, report: LoadReport) {
         let now = self.clock.now();
         self.load.lock().note_controller(now, controller, report);
     }
 
-    pub(super) fn load_of_own_gateways(&self) -> LoadReport {
+    pub(super) fn own_gateways_load(&self) -> LoadReport {
         let now = self.clock.now();
         let mut board = self.load.lock();
         board.forget_old(now);
         board.own_gateways(now)
     }
 
-    pub(super) fn take_heard(&self) -> Heard {
-        std::mem::take(&mut *self.heard.lock())
+    pub(super) fn take_heartbeats(&self) -> Heartbeats {
+        std::mem::take(&mut *self.heartbeats.lock())
     }
 }
 
-/// A controller, for servers and operators.
+/// Handle to a controller, for requests of servers and operators.
 #[derive(Clone)]
 pub struct ControllerHandle {
     shared: Arc<Shared>,
@@ -270,39 +269,39 @@
         }
     }
 
-    /// Takes an announcement of a server. Only what is new is committed.
+    /// Handles a heartbeat of a server. Commits a command only if the registration changed.
     ///
     /// # Errors
-    /// [`ControlError::OutcomeUnknown`] when what is new could not be committed in time.
+    /// Returns [`ControlError::OutcomeUnknown`] if a change could not be committed in time.
     pub async fn announce(&self, registration: Registration) -> Result<(), ControlError> {
         let id = registration.server.id.clone();
         let state = self.shared.published().state;
         if !state.is_ordinary(&registration) {
             let is_leaving = registration.server.state == ServerState::Draining;
             let result = self.submit(Command::Announce(registration)).await;
-            log::info!(event = "server_announced", server = id.as_str(), is_leaving, committed = result.is_ok(); "a server said something new");
+            log::info!(event = "server_announced", server = id.as_str(), is_leaving, committed = result.is_ok(); "a server registered or changed its registration");
             result?;
         }
-        self.shared.hear_server(id);
+        self.shared.record_server_heartbeat(id);
         Ok(())
     }
 
-    /// Takes that a server leaves.
+    /// Removes a server that leaves.
     ///
     /// # Errors
-    /// [`ControlError::OutcomeUnknown`] when it could not be committed in time.
+    /// Returns [`ControlError::OutcomeUnknown`] if this could not be committed in time.
     pub async fn leave(&self, server: String) -> Result<(), ControlError> {
         let id = server.clone();
         let result = self.submit(Command::Leave { server }).await;
-        log::info!(event = "server_left", server = id.as_str(), committed = result.is_ok(); "a server left");
+        log::info!(event = "server_left", server = id.as_str(), committed = result.is_ok(); "a server deregistered");
         result.map(|_| ())
     }
 
-    /// Keeps all new work from the servers of a zone, or lets it go there again. Once this is committed,
-    /// gateways that hear a controller learn of it like of a routing table, within a round between zones.
+    /// Starts or ends the evacuation of a zone, whose servers receive no new calls meanwhile. Connected gateways
+    /// learn of it within a round trip after it is committed.
     ///
     /// # Errors
-    /// [`ControlError::UnknownZone`], or [`ControlError::OutcomeUnknown`] when it could not be committed in time.
+    /// Returns [`ControlError::UnknownZone`], or [`ControlError::OutcomeUnknown`] if it could not be committed in time.
     pub async fn evacuate(&self, zone: &str, is_evacuated: bool) -> Result<(), ControlError> {
         if !self.zones.is_empty() && !self.zones.contains(zone) {
             return Err(ControlError::UnknownZone);
@@ -312,14 +311,14 @@
             is_evacuated,
         };
         let result = self.submit(command).await;
-        log::info!(event = "evacuation", zone, is_evacuated, committed = result.is_ok(); "an operator evacuates a zone or takes it back");
+        log::info!(event = "evacuation", zone, is_evacuated, committed = result.is_ok(); "an operator started or ended the evacuation of a zone");
         result
     }
 
-    /// Puts a checked routing table in force, unless a higher version is.
+    /// Replaces the routing table by a validated one, unless a higher version is in force.
     ///
     /// # Errors
-    /// [`ControlError::OutcomeUnknown`] when it could not be committed in time.
+    /// Returns [`ControlError::OutcomeUnknown`] if it could not be committed in time.
     pub async fn replace_routing(
         &self,
         table: VersionedTable,
@@ -336,10 +335,10 @@
     /// Commits a command.
     ///
     /// # Errors
-    /// [`ControlError`]: refused, or not certain.
+    /// Returns [`ControlError`] if the command was rejected or its outcome is unknown.
     pub async fn submit(&self, command: Command) -> Result<(), ControlError> {
-        let make = || PeerRequest::Submit(command.clone());
-        match self.ask_leader(make).await? {
+        let make_request = || PeerRequest::Submit(command.clone());
+        match self.ask_leader(make_request).await? {
             PeerReply::Committed(Outcome::Done) => Ok(()),
             PeerReply::Committed(Outcome::UnknownMachine) => Err(ControlError::UnknownMachine),
             PeerReply::Committed(Outcome::TooFew) => Err(ControlError::TooFew),
@@ -347,10 +346,10 @@
         }
     }
 
-    /// The routing table in force, confirmed by a quorum.
+    /// Reads the routing table in force, confirmed by a quorum.
     ///
     /// # Errors
-    /// [`ControlError::OutcomeUnknown`] when that can't be known, [`ControlError::NoRouting`] before the first.
+    /// Returns [`ControlError::OutcomeUnknown`] if no quorum confirmed it, [`ControlError::NoRouting`] if none was set yet.
     pub async fn routing(&self) -> Result<RoutingInForce, ControlError> {
         match self.ask_leader(|| PeerRequest::ReadRouting).await? {
             PeerReply::Routing(routing) => routing.ok_or(ControlError::NoRouting),
@@ -358,11 +357,11 @@
         }
     }
 
-    /// How far the emptying of a machine is, as far as this controller knows.
+    /// The progress of a machine's retirement, as known to this controller.
     ///
     /// # Errors
-    /// [`ControlError::UnknownMachine`] when no emptying of it was asked for, [`ControlError::OutcomeUnknown`] when this
-    /// controller may lack that it was.
+    /// Returns [`ControlError::UnknownMachine`] if no retirement was started, [`ControlError::OutcomeUnknown`] if this
+    /// controller is not up to date.
     pub fn retirement(&self, name: &str) -> Result<Retirement, ControlError> {
         match self.shared.state().retirement(name) {
             Some(retirement) => Ok(retirement),
@@ -371,19 +370,22 @@
         }
     }
 
-    /// Whether this controller leads, or has all that the leader had committed until lately.
+    /// Whether this controller's state is up to date with a leader.
     #[must_use]
-    pub fn hears_a_leader(&self) -> bool {
+    pub fn is_up_to_date(&self) -> bool {
         self.shared.is_fresh()
     }
 
-    /// Hands leadership over, before a planned stop.
+    /// Transfers leadership to another controller, before a shutdown.
     pub fn hand_over(&self) {
-        self.shared.tell(Input::HandOver);
+        self.shared.send_input(Input::TransferLeadership);
     }
 
-    async fn ask_leader(&self, make: impl Fn() -> PeerRequest) -> Result<PeerReply, ControlError> {
-        let deadline = Instant::now() + SUBMIT_LIMIT;
+    async fn ask_leader(
+        &self,
+        make_request: impl Fn() -> PeerRequest,
+    ) -> Result<PeerReply, ControlError> {
+        let deadline = Instant::now() + REQUEST_TIMEOUT;
         let mut hint = None;
         loop {
             let published = self.shared.published();
@@ -393,7 +395,7 @@
                 return Err(ControlError::OutcomeUnknown);
             }
             let reply = match leader {
-                Some(leader) => self.ask(leader, make(), left).await,
+                Some(leader) => self.request(leader, make_request(), left).await,
                 None => None,
             };
             match reply {
@@ -401,11 +403,11 @@
                 Some(PeerReply::OutcomeUnknown) | None => {}
                 Some(reply) => return Ok(reply),
             }
-            sleep(RETRY_PAUSE).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn ask(
+    async fn request(
         &self,
         leader: NodeId,
         request: PeerRequest,
--- a/crates/courseshed-edge/src/controller/housekeeping.rs
+++ b/crates/courseshed-edge/src/controller/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What the leader does unasked: drops silent servers, and moves the records' replicas along.
+//! Periodic work of the leader: removing silent servers and reassigning record replicas.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,77 +7,76 @@
 use courseshed_registry::{Command, FleetState, Liveness, LivenessSettings, Retirement};
 use courseshed_types::ZoneMap;
 
-/// How often the leader looks.
-pub(super) const INTERVAL: Duration = Duration::from_millis(150);
-/// Silence after which another machine may take a machine's place.
-pub(super) const NODE_SILENCE: Duration = Duration::from_secs(3);
-/// How long no further store may have announced itself before partitions get their first replicas.
-/// Stores that start together announce themselves within 0.3 s of the election, and each of them
-/// is to get its part.
-const FOUNDING_CALM: Duration = Duration::from_millis(500);
+/// Interval of the periodic work.
+pub(super) const HOUSEKEEPING_INTERVAL: Duration = Duration::from_millis(150);
+/// Time without heartbeats after which a node may be replaced.
+pub(super) const NODE_TIMEOUT: Duration = Duration::from_secs(3);
+/// How long the number of stores must be stable before partitions get their first replicas, so that
+/// stores which start together all receive a share.
+const PLACEMENT_DELAY: Duration = Duration::from_millis(500);
 
-/// What may be lost at one time, and where machines stand.
+/// Simultaneous failures to tolerate, and the topology.
 #[derive(Clone, Debug, Default)]
 pub struct LossTerms {
-    /// Disks.
+    /// Number of disks.
     pub disks: usize,
-    /// Whole zones.
+    /// Number of whole zones.
     pub zones: usize,
-    /// Whole regions.
+    /// Number of whole regions.
     pub regions: usize,
-    /// The regions of zones.
+    /// The region of each zone.
     pub zone_map: Arc<ZoneMap>,
 }
 
-/// How many stores have announced themselves, and since when it is so many.
+/// The number of registered stores, and since when it has been unchanged.
 #[derive(Clone, Copy, Debug)]
-struct KnownStores {
+struct StoreCount {
     count: usize,
     since: Duration,
 }
 
-/// The leader's soft state. A new leader starts with none.
+/// The leader's volatile state. A new leader starts without any.
 pub(super) struct Housekeeper {
     pub liveness: Liveness,
     terms: LossTerms,
     caught_up: Vec<CaughtUp>,
-    stores: KnownStores,
+    stores: StoreCount,
 }
 
 impl Housekeeper {
     pub(super) fn new(server_silence: Duration, terms: LossTerms, now: Duration) -> Self {
         let settings = LivenessSettings {
             server_silence,
-            node_silence: NODE_SILENCE,
+            node_silence: NODE_TIMEOUT,
         };
         Self {
             liveness: Liveness::new(settings, now),
             terms,
             caught_up: Vec::new(),
-            stores: KnownStores {
+            stores: StoreCount {
                 count: 0,
                 since: now,
             },
         }
     }
 
-    pub(super) fn note_caught_up(&mut self, caught_up: Vec<CaughtUp>) {
+    pub(super) fn add_caught_up(&mut self, caught_up: Vec<CaughtUp>) {
         self.caught_up.extend(caught_up);
     }
 
-    /// The commands that are due.
+    /// Returns the commands that are due.
     pub(super) fn due(&mut self, now: Duration, state: &FleetState) -> Vec<Command> {
         let mut commands = Vec::new();
         self.liveness.observe(now, state);
         let servers = self.liveness.silent_servers(now);
         if !servers.is_empty() {
-            log::info!(event = "servers_expired", servers:? = servers; "servers were silent for too long");
+            log::info!(event = "servers_expired", servers:? = servers; "removing servers without heartbeats");
             commands.push(Command::Expire { servers });
         }
         let caught_up = std::mem::take(&mut self.caught_up);
         let silent = self.liveness.silent_stores(now, state);
         let retiring = state.retiring();
-        let may_found = self.has_calmed(now, state.stores().len());
+        let may_found = self.is_store_count_stable(now, state.stores().len());
         let plan = MapPlan {
             map: state.records(),
             stores: state.stores(),
@@ -97,26 +96,26 @@
         let changes = plan_map(&plan, &caught_up);
         if !changes.is_empty() {
             let partitions: Vec<u8> = changes.iter().map(|change| change.partition.0).collect();
-            log::info!(event = "record_views_planned", partitions:? = partitions, stores = state.stores().len(), silent = silent.len(), caught_up = caught_up.len(); "the replicas of partitions of the records are to change");
+            log::info!(event = "record_views_planned", partitions:? = partitions, stores = state.stores().len(), silent = silent.len(), caught_up = caught_up.len(); "proposing new replicas for record partitions");
             commands.push(Command::ChangeRecordViews(changes));
         }
-        commands.extend(self.completed(state));
+        commands.extend(self.completed_retirement(state));
         commands
     }
 
-    /// Whether no further store was heard of for a while.
-    fn has_calmed(&mut self, now: Duration, stores: usize) -> bool {
+    /// Whether the number of stores has been stable for [`PLACEMENT_DELAY`].
+    fn is_store_count_stable(&mut self, now: Duration, stores: usize) -> bool {
         if self.stores.count != stores {
-            self.stores = KnownStores {
+            self.stores = StoreCount {
                 count: stores,
                 since: now,
             };
         }
-        now.saturating_sub(self.stores.since) >= FOUNDING_CALM
+        now.saturating_sub(self.stores.since) >= PLACEMENT_DELAY
     }
 
-    /// Machines to be emptied that hold nothing that counts any more.
-    fn completed(&self, state: &FleetState) -> Option<Command> {
+    /// Completes the retirement of a node that is no longer needed by any partition.
+    fn completed_retirement(&self, state: &FleetState) -> Option<Command> {
         let records = state.records();
         let is_needed = |node| records.views().any(|(_, view)| view.needs(node));
         let done = state
@@ -128,8 +127,8 @@
     }
 }
 
-/// Replicas of each record: a majority is left when so many disks are lost.
+/// Number of replicas of each record, so that a majority survives the loss of `disk_failures` disks.
 #[must_use]
-pub fn replicas_wanted(disks_borne: usize) -> usize {
-    (2 * disks_borne + 1).max(3)
+pub fn replicas_wanted(disk_failures: usize) -> usize {
+    (2 * disk_failures + 1).max(3)
 }
--- a/crates/courseshed-edge/src/controller/mod.rs
+++ b/crates/courseshed-edge/src/controller/mod.rs
@@ -1,7 +1,7 @@
-//! A controller: a replica of the fleet's state, and what servers, operators and peers ask of it.
+//! A controller: a replica of the fleet's state that serves servers, operators and peers.
 
 mod admission;
-mod founding;
+mod bootstrap;
 mod handle;
 mod housekeeping;
 mod peers;
@@ -30,51 +30,51 @@
 use handle::Shared;
 use snafu::{ResultExt, Snafu};
 
-/// How a controller runs.
+/// Settings of a controller.
 pub struct ControllerSettings {
-    /// The machine.
+    /// The node of the controller.
     pub node: NodeId,
-    /// Where its log is kept.
+    /// Data directory of the log.
     pub folder: PathBuf,
-    /// Whether the whole fleet starts for the first time, on empty disks.
+    /// Whether to bootstrap a new fleet, on empty disks.
     pub is_first_start: bool,
-    /// Machines with controllers, to find the others by.
+    /// Returns nodes that run controllers.
     pub seeds: Box<dyn Fn() -> Vec<NodeId> + Send + Sync>,
-    /// Where peers listen.
+    /// Maps nodes to peer addresses.
     pub addresses: PeerAddresses,
-    /// How long a server may be silent before it is dropped.
+    /// Time without heartbeats after which a server is removed.
     pub server_silence: Duration,
-    /// What must be borne at once.
+    /// Failures to tolerate.
     pub losses: LossTerms,
-    /// How tenants' requests are counted.
+    /// Terms of tenants' request quotas.
     pub quota: QuotaTerms,
-    /// Where what happens is counted.
+    /// Metrics of the process.
     pub metrics: Arc<Metrics>,
-    /// Makes writes of the log fail, for tests; does nothing by itself.
+    /// Fault injection for writes of the log, for tests.
     pub disk_faults: FaultSwitch,
 }
 
-/// A controller doesn't start.
+/// Errors from starting a controller.
 #[derive(Debug, Snafu)]
 pub enum ControllerError {
-    /// It can't speak to its peers.
+    /// The transport failed to start.
     #[snafu(display("{source}"))]
     Peers {
-        /// Why not.
+        /// The cause.
         source: PeersError,
     },
-    /// Its replica can't be opened.
+    /// The replica cannot be opened.
     #[snafu(display("{source}"))]
     Replica {
-        /// Why not.
+        /// The cause.
         source: StartError,
     },
 }
 
-/// Starts a controller; its replica runs on a thread of its own, since it waits for the disk.
+/// Starts a controller. Its replica runs on a separate thread, since it blocks on disk writes.
 ///
 /// # Errors
-/// [`ControllerError`] when the port or the folder can't be used.
+/// Returns [`ControllerError`] if the port or the data directory cannot be used.
 pub async fn start(settings: ControllerSettings) -> Result<ControllerHandle, ControllerError> {
     let clock = Clock::start();
     let shared = Arc::new(Shared::new(settings.node, clock));
@@ -94,7 +94,7 @@
         settings.losses.zone_map.clone(),
     );
     let seeds = Arc::new(settings.seeds);
-    let incarnation = founding::choose_incarnation(
+    let incarnation = bootstrap::choose_incarnation(
         &shared,
         settings.addresses,
         &settings.folder,
@@ -102,7 +102,8 @@
         seeds.as_ref(),
     )
     .await;
-    let initial_members = founding::founders(settings.is_first_start, settings.node, &seeds());
+    let initial_members =
+        bootstrap::initial_voters(settings.is_first_start, settings.node, &seeds());
     let options = replica::WorkerOptions {
         node: settings.node,
         folder: settings.folder,
@@ -116,13 +117,13 @@
         disk_faults: settings.disk_faults,
     };
     replica::start(options, shared.clone(), peers).context(ReplicaSnafu)?;
-    tokio::spawn(founding::keep_joined(
+    tokio::spawn(bootstrap::keep_joined(
         shared.clone(),
         settings.addresses,
         seeds,
     ));
-    tokio::spawn(pools::keep_pools(pools));
-    tokio::spawn(relay::relay_heard(shared.clone()));
+    tokio::spawn(pools::run_pools(pools));
+    tokio::spawn(relay::relay_heartbeats(shared.clone()));
     tokio::spawn(relay::confirm_routing(shared.clone(), settings.addresses));
     tokio::spawn(relay::relay_load(shared));
     Ok(handle)
--- a/crates/courseshed-edge/src/controller/peers.rs
+++ b/crates/courseshed-edge/src/controller/peers.rs
@@ -1,4 +1,4 @@
-//! Requests and messages of peers, handed to the replica or answered from what it shows.
+//! Handles requests and messages of peers, by the replica or from its published state.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,18 +11,16 @@
 use tokio::sync::oneshot;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::handle::{Input, Reading, Shared};
+use super::handle::{Input, ReadKind, Shared};
 use super::pools::Pools;
 use crate::protocol::{FleetProtocol, PeerMessage, PeerReply, PeerRequest, node_of, replica_of};
 
-/// How often a held request looks whether this controller still hears the leader.
-const FRESHNESS_CHECK: Duration = Duration::from_millis(300);
+/// How often a held request checks whether this controller is still up to date.
+const FRESHNESS_CHECK_INTERVAL: Duration = Duration::from_millis(300);
 
-/// For how long news of servers is gathered before a follower is told. Where thousands of servers start or are
-/// replaced together, each of some 90 followers of a controller was told 300 times a second; so it is told 20
-/// times. A server that drains is left alone by all gateways that much later: a fortieth of the 2 s that this may
-/// take.
-const GATHER: Duration = Duration::from_millis(50);
+/// How long changes of servers are batched before they are sent to a follower. Limits the rate of updates while
+/// many servers start or are replaced, and delays the draining of a server by the same time.
+const BATCH_DELAY: Duration = Duration::from_millis(50);
 
 pub(super) struct ControllerPeers {
     shared: Arc<Shared>,
@@ -37,10 +35,10 @@
     fn forward(
         &self,
         reply: ReplySender<FleetProtocol>,
-        make: impl FnOnce(oneshot::Sender<PeerReply>) -> Input,
+        make_input: impl FnOnce(oneshot::Sender<PeerReply>) -> Input,
     ) {
         let (sender, answered) = oneshot::channel();
-        self.shared.tell(make(sender));
+        self.shared.send_input(make_input(sender));
         tokio::spawn(async move {
             if let Ok(answer) = answered.await {
                 reply.send(answer);
@@ -48,8 +46,8 @@
         });
     }
 
-    fn read(&self, reply: ReplySender<FleetProtocol>, wanted: Reading) {
-        self.forward(reply, |reply| Input::Read { wanted, reply });
+    fn read(&self, reply: ReplySender<FleetProtocol>, kind: ReadKind) {
+        self.forward(reply, |reply| Input::Read { kind, reply });
     }
 
     fn known_incarnation(&self, node: NodeId) -> PeerReply {
@@ -66,15 +64,15 @@
         match message {
             PeerMessage::Consensus(message) => {
                 if node_of(message.from.replica) == from.node {
-                    self.shared.tell(Input::Consensus(message));
+                    self.shared.send_input(Input::Consensus(message));
                 }
             }
             PeerMessage::Heartbeats { servers, nodes } => {
-                self.shared.tell(Input::Heard { servers, nodes })
+                self.shared.send_input(Input::Heartbeats { servers, nodes })
             }
-            PeerMessage::Load(report) => self.shared.note_controller_load(from.node, report),
+            PeerMessage::Load(report) => self.shared.record_controller_load(from.node, report),
             PeerMessage::PoolNotes { service, notes } => {
-                self.pools.note(from.node, &service, &notes);
+                self.pools.record_ended(from.node, &service, &notes);
             }
             PeerMessage::PoolCalls { service, calls } => {
                 self.pools.set_running(from.node, &service, &calls);
@@ -95,7 +93,7 @@
                 is_store,
             } => {
                 if is_store {
-                    self.shared.hear_node(from.node);
+                    self.shared.record_node_heartbeat(from.node);
                 }
                 let arrived = self.shared.clock().now();
                 tokio::spawn(follow(self.shared.clone(), known, hold_ms, arrived, reply));
@@ -103,8 +101,8 @@
             PeerRequest::Submit(command) => {
                 self.forward(reply, |reply| Input::Submit { command, reply });
             }
-            PeerRequest::ReadRouting => self.read(reply, Reading::Routing),
-            PeerRequest::ReadRoutingVersion => self.read(reply, Reading::RoutingVersion),
+            PeerRequest::ReadRouting => self.read(reply, ReadKind::Routing),
+            PeerRequest::ReadRoutingVersion => self.read(reply, ReadKind::RoutingVersion),
             PeerRequest::Join { incarnation } => {
                 let address = ReplicaAddress::new(replica_of(from.node), incarnation);
                 self.forward(reply, |reply| Input::Join { address, reply });
@@ -120,7 +118,7 @@
                     node,
                     incarnation,
                 });
-                self.shared.tell(Input::CaughtUp(caught_up.collect()));
+                self.shared.send_input(Input::CaughtUp(caught_up.collect()));
                 reply.send(PeerReply::Joining);
             }
             PeerRequest::ShareLoad(report) => {
@@ -133,15 +131,15 @@
                 reply,
             }),
             PeerRequest::Schedule { service, demand } => {
-                self.pools.ask(from.node, &service, demand, reply);
+                self.pools.request(from.node, &service, demand, reply);
             }
             PeerRequest::Records(_) => {}
         }
     }
 }
 
-/// Answers a follower as soon as there is news, when this controller stops hearing the leader, or
-/// when the time is over.
+/// Replies to a follower when there are changes, when this controller stops being up to date, or when the
+/// hold time has passed.
 async fn follow(
     shared: Arc<Shared>,
     known: Known,
@@ -151,15 +149,15 @@
 ) {
     let mut watch = shared.watch();
     let deadline = Instant::now() + Duration::from_millis(hold_ms);
-    let mut has_gathered = hold_ms == 0;
+    let mut has_batched = hold_ms == 0;
     loop {
         let published = watch.borrow_and_update().clone();
         let update = shared.update_for(&published.state, known);
         let is_fresh = shared.is_fresh();
         let left = deadline.saturating_duration_since(Instant::now());
-        if update.can_wait() && is_fresh && !has_gathered {
-            has_gathered = true;
-            sleep(GATHER.min(left)).await;
+        if update.can_wait() && is_fresh && !has_batched {
+            has_batched = true;
+            sleep(BATCH_DELAY.min(left)).await;
             continue;
         }
         if !update.is_empty() || !is_fresh || left.is_zero() {
@@ -172,6 +170,6 @@
             });
             return;
         }
-        let _ = timeout(left.min(FRESHNESS_CHECK), watch.changed()).await;
+        let _ = timeout(left.min(FRESHNESS_CHECK_INTERVAL), watch.changed()).await;
     }
 }
--- a/crates/courseshed-edge/src/controller/pools.rs
+++ b/crates/courseshed-edge/src/controller/pools.rs
@@ -1,10 +1,10 @@
-//! The schedulers of pools that live in this controller, and the calls that wait at them.
+//! The pool schedulers on this controller.
 //!
-//! One pool for each service with engines. What a pool knows is soft: it starts with nothing, and learns the
-//! calls under way from the gateways. It never waits for the disk or for the replicated log.
+//! There is one pool for each service with engines. Its state is volatile: it starts empty and learns the running
+//! calls from the gateways. It never waits for the disk or the replicated log.
 //!
-//! Invariants: a ticket has at most one decision, which is told again as often as it is asked for until the
-//! call is over; a granted engine that nobody asks for is given back.
+//! Invariants: a ticket has at most one decision, which is returned to repeated requests until the call ends or
+//! the decision expires; a granted engine that is not claimed is released.
 
 mod pool;
 
@@ -28,17 +28,16 @@
 use crate::protocol::{FleetProtocol, PeerReply};
 use pool::Pool;
 
-/// How often pools with calls are looked through: a small part of how long a request is held, and
-/// less than the time between two tokens.
-const TICK: Duration = Duration::from_millis(25);
+/// Tick interval of pools with calls.
+const TICK_INTERVAL: Duration = Duration::from_millis(25);
 
-/// The pools whose scheduler is here.
+/// The pools with a scheduler on this controller.
 pub(super) struct Pools {
     shared: Arc<Shared>,
     metrics: Arc<Metrics>,
     by_service: Mutex<HashMap<String, Arc<Mutex<Pool>>>>,
     /// Wakes the ticker when a pool may have become busy.
-    wanted: Notify,
+    wake: Notify,
 }
 
 impl Pools {
@@ -47,67 +46,71 @@
             shared,
             metrics,
             by_service: Mutex::default(),
-            wanted: Notify::new(),
+            wake: Notify::new(),
         }
     }
 
-    /// A call of a gateway wants an engine.
-    pub(super) fn ask(
+    /// Requests an engine for a call of a gateway.
+    pub(super) fn request(
         &self,
         gateway: NodeId,
         service: &str,
         demand: CallDemand,
         reply: ReplySender<FleetProtocol>,
     ) {
-        let Some(pool) = self.find_or_make(service) else {
+        let Some(pool) = self.get_or_create(service) else {
             reply.send(PeerReply::UnknownPool);
             return;
         };
         let now = self.shared.clock().now();
-        pool.lock().ask(now, gateway, demand, reply);
-        self.wanted.notify_one();
+        pool.lock().request(now, gateway, demand, reply);
+        self.wake.notify_one();
     }
 
-    /// Calls of a gateway are over.
-    pub(super) fn note(&self, gateway: NodeId, service: &str, notes: &[CallNote]) {
+    /// Records that calls of a gateway ended.
+    pub(super) fn record_ended(&self, gateway: NodeId, service: &str, notes: &[CallNote]) {
         let found = self.by_service.lock().get(service).cloned();
-        // A pool that isn't there knows of no calls.
+        // A pool that does not exist has no calls.
         if let Some(pool) = found {
-            pool.lock().note(self.shared.clock().now(), gateway, notes);
+            pool.lock()
+                .record_ended(self.shared.clock().now(), gateway, notes);
         }
     }
 
-    /// A gateway tells all that it has at the engines of a pool.
+    /// Replaces the set of calls that a gateway is running on engines of a pool.
     pub(super) fn set_running(&self, gateway: NodeId, service: &str, calls: &[RunningCall]) {
-        // One that has no pool here yet is made, so that it knows of the calls before the first is asked for.
-        if let Some(pool) = self.find_or_make(service) {
+        // Create a missing pool, so that it knows the running calls before the first request.
+        if let Some(pool) = self.get_or_create(service) {
             let now = self.shared.clock().now();
             pool.lock().set_running(now, gateway, calls);
-            self.wanted.notify_one();
+            self.wake.notify_one();
         }
     }
 
-    /// The pool of a service, with the engines that are known now; none if the service has no engines.
-    fn find_or_make(&self, service: &str) -> Option<Arc<Mutex<Pool>>> {
+    /// Returns the pool of a service with its engines up to date; none if the service has no engines.
+    fn get_or_create(&self, service: &str) -> Option<Arc<Mutex<Pool>>> {
         let state = self.shared.state();
         let found = self.by_service.lock().get(service).cloned();
         let pool = match found {
             Some(pool) => pool,
             None => {
                 engine_limits(&state, service)?;
-                let make = || {
+                let create = || {
                     let pool = Pool::new(service, time_of_day_ms(), self.metrics.clone());
                     Arc::new(Mutex::new(pool))
                 };
                 let mut pools = self.by_service.lock();
-                pools.entry(service.to_owned()).or_insert_with(make).clone()
+                pools
+                    .entry(service.to_owned())
+                    .or_insert_with(create)
+                    .clone()
             }
         };
-        let is_there = pool.lock().refresh(self.shared.clock().now(), &state);
-        is_there.then_some(pool)
+        let has_engines = pool.lock().refresh(self.shared.clock().now(), &state);
+        has_engines.then_some(pool)
     }
 
-    /// Looks through all pools; returns whether any has calls.
+    /// Ticks all pools; returns whether any has calls.
     fn tick(&self) -> bool {
         let state = self.shared.state();
         let now = self.shared.clock().now();
@@ -120,11 +123,11 @@
         let mut any_busy = false;
         for (service, pool) in pools {
             let mut pool = pool.lock();
-            let is_there = pool.refresh(now, &state);
+            let has_engines = pool.refresh(now, &state);
             pool.tick(now);
             let is_busy = pool.is_busy();
             any_busy |= is_busy;
-            if !is_there && !is_busy {
+            if !has_engines && !is_busy {
                 self.by_service.lock().remove(&service);
             }
         }
@@ -132,18 +135,18 @@
     }
 }
 
-/// Looks through the pools for as long as the process lives; rests while none has calls.
-pub(super) async fn keep_pools(pools: Arc<Pools>) {
+/// Ticks the pools indefinitely, pausing while none has calls.
+pub(super) async fn run_pools(pools: Arc<Pools>) {
     loop {
         if pools.tick() {
-            sleep(TICK).await;
+            sleep(TICK_INTERVAL).await;
         } else {
-            pools.wanted.notified().await;
+            pools.wake.notified().await;
         }
     }
 }
 
-/// What the engines of a service can bear; none if it has no engines.
+/// The limits of a service's engines; none if it has no engines.
 fn engine_limits<'a>(state: &'a FleetState, service: &str) -> Option<&'a EngineLimits> {
     let routing = state.routing()?;
     routing.table.table.service(service)?.engine.as_ref()
--- a/crates/courseshed-edge/src/controller/pools/pool.rs
+++ b/crates/courseshed-edge/src/controller/pools/pool.rs
@@ -1,4 +1,4 @@
-//! One pool: its scheduler, the requests that it holds, and the decisions that gateways may ask for again.
+//! A pool: its scheduler, pending requests, and recent decisions.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -16,84 +16,83 @@
 use crate::metrics::{DecisionLabels, Metrics, PoolLabels};
 use crate::protocol::{FleetProtocol, PeerReply};
 
-/// How long a request is held that isn't decided: short enough that a gateway which waits 250 ms for
-/// the answer tells a long queue from a dead scheduler, also over 10 ms between zones.
-const POOL_HOLD: Duration = Duration::from_millis(150);
-/// How long a decision that could not be told waits to be asked for: a gateway asks again at once, and
-/// a round between zones takes 3 to 10 ms.
-const CLAIM_LIMIT: Duration = Duration::from_millis(150);
-/// How long a told decision is told again if it is asked for: longer than a gateway waits for an answer.
-const TOLD_AGAIN: Duration = Duration::from_millis(300);
+/// How long an undecided request is pending. Below the gateways' response timeout of 250 ms, so that they can
+/// distinguish a long queue from a failed scheduler.
+const REQUEST_HOLD: Duration = Duration::from_millis(150);
+/// How long an undelivered decision may be claimed. Gateways repeat their requests immediately, so this is well
+/// above the round-trip time between zones.
+const CLAIM_TIMEOUT: Duration = Duration::from_millis(150);
+/// How long a delivered decision is returned to repeated requests. Above the gateways' response timeout.
+const DELIVERED_RETENTION: Duration = Duration::from_millis(300);
 
-/// A request that has no answer yet.
-struct Held {
+/// A request without a reply so far.
+struct PendingRequest {
     reply: ReplySender<FleetProtocol>,
     until: Duration,
 }
 
-/// A decision that may be asked for again.
-struct Decided {
+/// A recent decision.
+struct RecentDecision {
     verdict: Verdict,
     inputs: DecisionInputs,
     at: Duration,
-    /// Whether it was handed to the transport.
-    is_told: bool,
+    /// Whether it was passed to the transport.
+    is_delivered: bool,
 }
 
-/// One pool.
 pub(super) struct Pool {
     service: String,
-    /// Names this life of the scheduler.
+    /// Identifies this instance of the scheduler.
     incarnation: u64,
     scheduler: PoolScheduler,
-    /// The state that its engines were taken from.
-    shown: Option<Arc<FleetState>>,
-    held: HashMap<Ticket, Held>,
-    decided: HashMap<Ticket, Decided>,
+    /// The state from which the engines were last updated.
+    last_state: Option<Arc<FleetState>>,
+    pending: HashMap<Ticket, PendingRequest>,
+    recent: HashMap<Ticket, RecentDecision>,
     metrics: Arc<Metrics>,
 }
 
 impl Pool {
     pub(super) fn new(service: &str, incarnation: u64, metrics: Arc<Metrics>) -> Self {
-        log::info!(event = "pool_scheduler_begins", service, incarnation; "a scheduler of a pool begins here");
+        log::info!(event = "pool_scheduler_begins", service, incarnation; "started a pool scheduler on this controller");
         Self {
             service: service.to_owned(),
             incarnation,
             scheduler: PoolScheduler::new(),
-            shown: None,
-            held: HashMap::new(),
-            decided: HashMap::new(),
+            last_state: None,
+            pending: HashMap::new(),
+            recent: HashMap::new(),
             metrics,
         }
     }
 
-    /// Whether anything is to be done as time passes.
+    /// Whether the pool needs ticks.
     pub(super) fn is_busy(&self) -> bool {
         let has_calls = self.scheduler.waiting() + self.scheduler.running() > 0;
-        has_calls || !self.held.is_empty() || !self.decided.is_empty()
+        has_calls || !self.pending.is_empty() || !self.recent.is_empty()
     }
 
-    /// Takes the engines of a state in, if it is another one; false if the service has none any more.
+    /// Updates the engines if the state changed; returns whether the service has engines.
     pub(super) fn refresh(&mut self, now: Duration, state: &Arc<FleetState>) -> bool {
-        let is_shown = self
-            .shown
+        let is_unchanged = self
+            .last_state
             .as_ref()
-            .is_some_and(|shown| Arc::ptr_eq(shown, state));
-        if is_shown {
+            .is_some_and(|last_state| Arc::ptr_eq(last_state, state));
+        if is_unchanged {
             return true;
         }
         let engines = list_engines(state, &self.service);
-        let is_there = engines.is_some();
+        let has_engines = engines.is_some();
         self.scheduler
             .set_engines(now, &engines.unwrap_or_default());
-        // A service without engines is looked for anew each time that it is asked for.
-        self.shown = is_there.then(|| state.clone());
-        self.carry_out(now);
-        is_there
+        // Look up a service without engines again each time.
+        self.last_state = has_engines.then(|| state.clone());
+        self.deliver_decisions(now);
+        has_engines
     }
 
-    /// A call wants an engine, perhaps again.
-    pub(super) fn ask(
+    /// Requests an engine for a call; may be repeated.
+    pub(super) fn request(
         &mut self,
         now: Duration,
         gateway: NodeId,
@@ -104,70 +103,69 @@
             gateway,
             number: demand.number,
         };
-        if let Some(decided) = self.decided.get_mut(&ticket) {
-            decided.is_told = true;
-            let (verdict, inputs) = (decided.verdict, decided.inputs);
+        if let Some(recent) = self.recent.get_mut(&ticket) {
+            recent.is_delivered = true;
+            let (verdict, inputs) = (recent.verdict, recent.inputs);
             reply.send(self.scheduled(verdict, inputs));
             return;
         }
-        let until = now + POOL_HOLD;
-        self.held.insert(ticket, Held { reply, until });
+        let until = now + REQUEST_HOLD;
+        self.pending.insert(ticket, PendingRequest { reply, until });
         self.scheduler.ask(now, gateway, demand);
-        self.carry_out(now);
+        self.deliver_decisions(now);
     }
 
-    /// Calls of a gateway are over.
-    pub(super) fn note(&mut self, now: Duration, gateway: NodeId, notes: &[CallNote]) {
+    /// Records that calls of a gateway ended.
+    pub(super) fn record_ended(&mut self, now: Duration, gateway: NodeId, notes: &[CallNote]) {
         for note in notes {
             let ticket = Ticket {
                 gateway,
                 number: note.number,
             };
-            self.held.remove(&ticket);
-            self.decided.remove(&ticket);
+            self.pending.remove(&ticket);
+            self.recent.remove(&ticket);
         }
         self.scheduler.note(now, gateway, notes);
-        self.carry_out(now);
+        self.deliver_decisions(now);
     }
 
-    /// A gateway names all its calls at engines.
+    /// Replaces the set of calls that a gateway is running on engines.
     pub(super) fn set_running(&mut self, now: Duration, gateway: NodeId, calls: &[RunningCall]) {
         self.scheduler.set_running(now, gateway, calls);
-        self.carry_out(now);
+        self.deliver_decisions(now);
     }
 
-    /// Does what is due.
     pub(super) fn tick(&mut self, now: Duration) {
         self.scheduler.tick(now);
-        self.carry_out(now);
-        self.answer_late(now);
-        self.give_back_unclaimed(now);
-        self.show();
+        self.deliver_decisions(now);
+        self.answer_expired(now);
+        self.release_unclaimed(now);
+        self.update_gauges();
     }
 
-    /// Tells the decisions that were made since.
-    fn carry_out(&mut self, now: Duration) {
+    /// Delivers new decisions of the scheduler.
+    fn deliver_decisions(&mut self, now: Duration) {
         for decision in self.scheduler.take_decisions() {
-            self.count(&decision);
+            self.record_decision(&decision);
             let Decision {
                 ticket,
                 verdict,
                 inputs,
             } = decision;
-            let held = self.held.remove(&ticket);
-            let asker = held.map(|held| held.reply);
-            let asker = asker.filter(|reply| !reply.is_closed());
-            let is_told = asker.is_some();
-            if let Some(reply) = asker {
+            let pending = self.pending.remove(&ticket);
+            let waiter = pending.map(|pending| pending.reply);
+            let waiter = waiter.filter(|reply| !reply.is_closed());
+            let is_delivered = waiter.is_some();
+            if let Some(reply) = waiter {
                 reply.send(self.scheduled(verdict, inputs));
             }
-            let decided = Decided {
+            let recent = RecentDecision {
                 verdict,
                 inputs,
                 at: now,
-                is_told,
+                is_delivered,
             };
-            self.decided.insert(ticket, decided);
+            self.recent.insert(ticket, recent);
         }
     }
 
@@ -179,43 +177,42 @@
         }
     }
 
-    /// Answers the requests that were held long enough; their calls keep their places.
-    fn answer_late(&mut self, now: Duration) {
-        let late = self.held.extract_if(|_, held| held.until <= now);
-        let late: Vec<Held> = late.map(|(_, held)| held).collect();
-        for held in late {
+    /// Replies `Waiting` to requests pending for [`REQUEST_HOLD`]; their calls keep their place in the queue.
+    fn answer_expired(&mut self, now: Duration) {
+        let late = self.pending.extract_if(|_, pending| pending.until <= now);
+        let late: Vec<PendingRequest> = late.map(|(_, pending)| pending).collect();
+        for pending in late {
             let answer = self.scheduled(Verdict::Waiting, DecisionInputs::default());
-            held.reply.send(answer);
+            pending.reply.send(answer);
         }
     }
 
-    /// Frees the engines of calls that nobody asked for any more, and forgets what was told.
-    fn give_back_unclaimed(&mut self, now: Duration) {
-        let old = self.decided.extract_if(|_, decided| {
-            let limit = if decided.is_told {
-                TOLD_AGAIN
+    /// Releases engines granted by unclaimed decisions and drops expired ones.
+    fn release_unclaimed(&mut self, now: Duration) {
+        let old = self.recent.extract_if(|_, recent| {
+            let limit = if recent.is_delivered {
+                DELIVERED_RETENTION
             } else {
-                CLAIM_LIMIT
+                CLAIM_TIMEOUT
             };
-            now.saturating_sub(decided.at) >= limit
+            now.saturating_sub(recent.at) >= limit
         });
         let unclaimed: Vec<Ticket> = old
-            .filter(|(_, decided)| !decided.is_told)
+            .filter(|(_, recent)| !recent.is_delivered)
             .map(|(ticket, _)| ticket)
             .collect();
         for ticket in unclaimed {
-            log::info!(event = "verdict_unclaimed", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number; "a verdict could not be told");
+            log::info!(event = "verdict_unclaimed", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number; "a verdict was not claimed by its gateway");
             let note = CallNote {
                 number: ticket.number,
                 end: CallEnd::Given,
             };
             self.scheduler.note(now, ticket.gateway, &[note]);
         }
-        self.carry_out(now);
+        self.deliver_decisions(now);
     }
 
-    /// Shows how many calls there are.
-    fn show(&self) {
+    fn update_gauges(&self) {
         let labels = PoolLabels {
             service: self.service.clone(),
         };
@@ -229,12 +226,12 @@
         }
     }
 
-    /// Counts a decision; one that turns a call away is logged, too.
-    fn count(&self, decision: &Decision) {
+    /// Updates metrics for a decision, and logs it if it rejects the call.
+    fn record_decision(&self, decision: &Decision) {
         let inputs = &decision.inputs;
         let labels = DecisionLabels {
             service: self.service.clone(),
-            verdict: name_of(&decision.verdict),
+            verdict: verdict_name(&decision.verdict),
         };
         self.metrics.pool_decisions.get_or_create(&labels).inc();
         let waited = Duration::from_millis(u64::from(inputs.waited_ms));
@@ -245,12 +242,12 @@
             Verdict::Granted(_) | Verdict::Waiting => return,
         };
         let ticket = decision.ticket;
-        log::info!(event = "call_turned_away", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number, verdict = labels.verdict, retry_after_ms, waited_ms = inputs.waited_ms, waiting = inputs.waiting, slack_percent = inputs.slack_percent, calls = inputs.calls, unread_tokens = inputs.unread_tokens; "a call was turned away");
+        log::info!(event = "call_turned_away", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number, verdict = labels.verdict, retry_after_ms, waited_ms = inputs.waited_ms, waiting = inputs.waiting, slack_percent = inputs.slack_percent, calls = inputs.calls, unread_tokens = inputs.unread_tokens; "the pool scheduler rejected a call");
     }
 }
 
-/// The name of a verdict in logs and counters.
-fn name_of(verdict: &Verdict) -> &'static str {
+/// The name of a verdict in logs and metrics.
+fn verdict_name(verdict: &Verdict) -> &'static str {
     match verdict {
         Verdict::Granted(_) => "granted",
         Verdict::Waiting => "waiting",
--- a/crates/courseshed-edge/src/controller/quotas.rs
+++ b/crates/courseshed-edge/src/controller/quotas.rs
@@ -1,7 +1,7 @@
 //! The leader as owner of tenants' permits.
 //!
-//! Invariant: a report is answered only under a valid lease of the leader, so an owner never answers
-//! after the next one began.
+//! Invariant: a report is answered only under a valid leader lease, so an owner never answers after its
+//! successor has started.
 
 use std::time::Duration;
 
@@ -14,29 +14,29 @@
 use crate::metrics::PermitCounts;
 use crate::protocol::PeerReply;
 
-/// How often ceilings are looked at. They are lowered if what was out since the last time fits under
-/// a lower one: as soon as the permits of a burst are free again, which takes about as long.
+/// How often ceilings are checked, and lowered if the permits handed out since the last check fit under a
+/// lower one.
 const CEILING_INTERVAL: Duration = Duration::from_secs(4);
-/// How soon tenants get their first ceilings after a routing table named them.
-const NEW_CEILING_INTERVAL: Duration = Duration::from_millis(500);
+/// Interval to the next check after a new routing table.
+const NEW_TABLE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The permits of one term, and what is due.
+/// The permits owned in one term.
 pub(super) struct OwnedQuotas {
     owner: QuotaOwner,
-    /// Version of the routing table whose tenants have ceilings.
+    /// Version of the routing table for which ceilings were last checked.
     version: Option<u64>,
     next_check: Duration,
 }
 
 impl Worker {
-    /// Answers a gateway's report of its permits.
+    /// Answers a gateway's report on its permits.
     pub(super) fn on_quota(
         &mut self,
         gateway: NodeId,
         report: QuotaReport,
         reply: oneshot::Sender<PeerReply>,
     ) {
-        if !self.owns_quotas() {
+        if !self.ensure_quota_owner() {
             let _ = reply.send(self.not_leader());
             return;
         }
@@ -51,16 +51,16 @@
             tenant.quota.as_ref().map(|quota| terms.permits(quota))
         };
         let (answer, bounds) = quotas.owner.on_report(now, gateway, report, permits_of);
-        // A report that came late has no answer; its gateway has made another since.
+        // An outdated report gets no answer; its gateway has sent a newer one.
         if let Some(answer) = answer {
             let _ = reply.send(PeerReply::Quota(answer));
         }
         self.propose_bounds(bounds);
     }
 
-    /// Gives new tenants their ceilings, and lowers those that are too high.
-    pub(super) fn keep_quotas(&mut self) {
-        if !self.owns_quotas() {
+    /// Sets the ceilings of new tenants, lowers those that are too high, and updates metrics.
+    pub(super) fn update_quotas(&mut self) {
+        if !self.ensure_quota_owner() {
             return;
         }
         let now = self.now();
@@ -94,15 +94,15 @@
         quotas.version = version;
         quotas.next_check = now
             + if is_new {
-                NEW_CEILING_INTERVAL
+                NEW_TABLE_INTERVAL
             } else {
                 CEILING_INTERVAL
             };
         self.propose_bounds(bounds);
     }
 
-    /// Takes in that a change of the bounds was agreed on.
-    pub(super) fn note_bounds(&mut self, outcome: Option<&Outcome>) {
+    /// Applies a committed change of the bounds.
+    pub(super) fn apply_bounds(&mut self, outcome: Option<&Outcome>) {
         if let (Some(quotas), Some(Outcome::QuotasBound(bounds))) = (&mut self.quota, outcome) {
             quotas.owner.on_bounds(bounds);
         }
@@ -112,12 +112,12 @@
         if bounds.is_empty() {
             return;
         }
-        log::info!(event = "quota_bounds", ceilings = bounds.ceilings.len(), holders = bounds.holders.len(), former_holders = bounds.former_holders.len(); "proposing how many permits may be out, and where");
+        log::info!(event = "quota_bounds", ceilings = bounds.ceilings.len(), holders = bounds.holders.len(), former_holders = bounds.former_holders.len(); "proposing new bounds on tenants' permits");
         self.submit(Command::BoundQuotas(bounds), None);
     }
 
-    /// Whether this controller surely leads now; it begins to own the permits if it does.
-    fn owns_quotas(&mut self) -> bool {
+    /// Whether this controller leads with a valid lease; if so, makes it the owner of permits.
+    fn ensure_quota_owner(&mut self) -> bool {
         let now = self.now();
         if !self.group.is_leader() || !self.group.lease_valid(now) {
             return false;
@@ -126,7 +126,7 @@
             let epoch = self.group.term().0;
             let bounds = self.group.machine().quota_bounds();
             let owner = QuotaOwner::new(self.options.quota, epoch, now, bounds);
-            log::info!(event = "quota_owner", epoch; "owning the permits of tenants from now on");
+            log::info!(event = "quota_owner", epoch; "became the owner of tenants' permits");
             self.quota = Some(OwnedQuotas {
                 owner,
                 version: None,
--- a/crates/courseshed-edge/src/controller/relay.rs
+++ b/crates/courseshed-edge/src/controller/relay.rs
@@ -1,5 +1,5 @@
-//! What controllers tell each other beside the replicated log: whom they heard, and the calls of the
-//! gateways that follow them. All of it is soft knowledge that is told again and again.
+//! Volatile state that controllers exchange outside the replicated log: heartbeats received, load of the
+//! gateways that follow them, and confirmations of the routing table. It is resent periodically.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,40 +11,40 @@
 use super::handle::{Input, Shared};
 use crate::protocol::{PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest};
 
-/// How often a controller that doesn't lead tells the leader whom it heard.
+/// How often heartbeats are relayed to the leader.
 const RELAY_INTERVAL: Duration = Duration::from_millis(500);
-/// How often a controller that doesn't lead has the leader confirm the routing table: a part of the
-/// 1.6 s that a proof may be old at a gateway in touch.
+/// How often a follower has the leader confirm the routing table: a fraction of the age that a proof may
+/// have at a connected gateway.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(250);
-/// How long the leader may take: a round between zones takes 3 to 10 ms.
-const CONFIRM_LIMIT: Duration = Duration::from_millis(400);
-/// How often controllers tell each other of the calls of their gateways.
+/// Timeout for the leader's confirmation: well above the round-trip time between zones.
+const CONFIRM_TIMEOUT: Duration = Duration::from_millis(400);
+/// Shortest interval between load reports to other controllers.
 const LOAD_INTERVAL: Duration = Duration::from_millis(80);
 
-/// Tells the leader, here or elsewhere, whom this controller heard.
-pub(super) async fn relay_heard(shared: Arc<Shared>) {
+/// Relays the heartbeats that this controller received to the leader.
+pub(super) async fn relay_heartbeats(shared: Arc<Shared>) {
     loop {
         sleep(RELAY_INTERVAL).await;
         let published = shared.published();
         let Some(leader) = published.leader else {
             continue;
         };
-        let heard = shared.take_heard();
-        let servers: Vec<String> = heard.servers.into_iter().collect();
-        let nodes: Vec<NodeId> = heard.nodes.into_iter().collect();
+        let heartbeats = shared.take_heartbeats();
+        let servers: Vec<String> = heartbeats.servers.into_iter().collect();
+        let nodes: Vec<NodeId> = heartbeats.nodes.into_iter().collect();
         if servers.is_empty() && nodes.is_empty() {
             continue;
         }
         if published.is_leader {
-            shared.tell(Input::Heard { servers, nodes });
+            shared.send_input(Input::Heartbeats { servers, nodes });
         } else if let Some(peers) = shared.peers() {
             let _ = peers.send(leader, PeerMessage::Heartbeats { servers, nodes });
         }
     }
 }
 
-/// Asks the leader again and again which version of the routing table is in force, so that this
-/// controller can prove to its followers that it has the newest.
+/// Periodically reads the version of the routing table from the leader, so that this controller can prove to
+/// its followers that its table is the newest.
 pub(super) async fn confirm_routing(shared: Arc<Shared>, addresses: PeerAddresses) {
     loop {
         let published = shared.published();
@@ -53,16 +53,16 @@
             peers.set_address(leader, addresses.of(leader, PeerPort::Controller));
             let asked_at = shared.clock().now();
             let question = PeerRequest::ReadRoutingVersion;
-            let answer = peers.request(leader, question, CONFIRM_LIMIT).await;
+            let answer = peers.request(leader, question, CONFIRM_TIMEOUT).await;
             if let Ok(PeerReply::RoutingVersion(version)) = answer {
-                shared.note_confirmed(asked_at, version);
+                shared.record_confirmed(asked_at, version);
             }
         }
         sleep(CONFIRM_INTERVAL).await;
     }
 }
 
-/// Tells the other controllers what the gateways have that follow this one.
+/// Reports the load of the gateways that follow this controller to the other controllers.
 pub(super) async fn relay_load(shared: Arc<Shared>) {
     let mut was_idle = true;
     loop {
@@ -71,7 +71,7 @@
             .into_keys()
             .filter(|node| *node != shared.node())
             .collect();
-        let report = shared.load_of_own_gateways();
+        let report = shared.own_gateways_load();
         let is_idle = report.lines() == 0;
         let servers = report.lines() * others.len();
         let pause = pause_after_reports(others.len(), servers, LOAD_INTERVAL);
--- a/crates/courseshed-edge/src/controller/replica.rs
+++ b/crates/courseshed-edge/src/controller/replica.rs
@@ -1,4 +1,4 @@
-//! Opening the replica of the controllers' log, and opening it again after its disk took no bytes.
+//! Opens the replica of the controllers' log, and reopens it after a failed disk write.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 use snafu::{ResultExt, Snafu};
 
 use super::handle::{Input, Shared};
-use super::housekeeping::{LossTerms, NODE_SILENCE};
-use super::worker::{Shown, Worker};
+use super::housekeeping::{LossTerms, NODE_TIMEOUT};
+use super::worker::{LastPublished, Worker};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, replica_of};
@@ -26,33 +26,33 @@
 const ELECTION_TIMEOUT: Duration = Duration::from_millis(400);
 const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 const RETAINED_ENTRIES: u64 = 256;
-/// Pause before a replica whose disk took no bytes is opened again.
-const REOPEN_PAUSE: Duration = Duration::from_millis(700);
-/// What was tried when a flush failed. What the system holds in memory then may differ from the
-/// disk, so the replica stays closed until its process starts anew.
-const FLUSH: &str = "flush";
+/// Delay before a replica is reopened after a failed disk write.
+const REOPEN_DELAY: Duration = Duration::from_millis(700);
+/// The operation of a failed flush. The page cache may then differ from the disk, so the replica stays
+/// closed until the process restarts.
+const FLUSH_OPERATION: &str = "flush";
 
 pub(super) type Group = ReplicatedGroup<FaultyLog<DiskLog>, FleetState>;
 
-/// A replica can't be opened.
+/// Errors from opening a replica.
 #[derive(Debug, Snafu)]
 pub enum StartError {
-    /// Its folder can't be used.
+    /// The data directory cannot be opened.
     #[snafu(display("{source}"))]
     Storage {
-        /// Why not.
+        /// The cause.
         source: StorageError,
     },
-    /// What is kept there can't be used.
+    /// The stored state is unusable.
     #[snafu(display("{source}"))]
     Group {
-        /// Why not.
+        /// The cause.
         source: GroupError,
     },
-    /// The thread can't be started.
-    #[snafu(display("can't start the thread of the replica: {source}"))]
+    /// The replica's thread cannot be started.
+    #[snafu(display("cannot start the replica's thread: {source}"))]
     Thread {
-        /// Why not.
+        /// The cause.
         source: std::io::Error,
     },
 }
@@ -77,8 +77,8 @@
 ) -> Result<(), StartError> {
     let group = open_group(&options, &shared)?;
     let inputs = shared.take_receiver();
-    let last_shown = Shown::default();
-    let worker = Worker::new(group, options, shared, peers, last_shown);
+    let last_published = LastPublished::default();
+    let worker = Worker::new(group, options, shared, peers, last_published);
     let run = move || {
         if let Some(inputs) = inputs {
             run_replica(worker, &inputs);
@@ -106,7 +106,7 @@
     Ok(group)
 }
 
-/// Runs a replica, and opens it again after its disk took no bytes.
+/// Runs a replica, and reopens it after a failed disk write.
 fn run_replica(mut worker: Worker, inputs: &Receiver<Input>) {
     while let Some(failure) = worker.run(inputs) {
         log::error!(event = "replica_failed"; "{failure}");
@@ -116,34 +116,34 @@
             options,
             shared,
             peers,
-            shown,
+            last_published,
             ..
         } = worker;
-        // Lets go of the folder, which is locked as long as the replica is open.
+        // Releases the lock on the data directory.
         drop(group);
-        shared.publish(shown.without_leader(), true);
+        shared.publish(last_published.without_leader(), true);
         worker = loop {
-            discard_for(REOPEN_PAUSE, inputs);
+            discard_inputs(REOPEN_DELAY, inputs);
             if !may_reopen {
                 continue;
             }
             match open_group(&options, &shared) {
-                Ok(group) => break Worker::new(group, options, shared, peers, shown),
+                Ok(group) => break Worker::new(group, options, shared, peers, last_published),
                 Err(error) => log::warn!(event = "replica_not_opened"; "{error}"),
             }
         };
     }
 }
 
-/// Drops what comes for a while: whoever asked is told that no answer will come.
-fn discard_for(pause: Duration, inputs: &Receiver<Input>) {
+/// Drops inputs during a pause, which closes the reply channels of requests.
+fn discard_inputs(pause: Duration, inputs: &Receiver<Input>) {
     let end = Instant::now() + pause;
     while let Ok(input) = inputs.recv_timeout(end.saturating_duration_since(Instant::now())) {
         drop(input);
     }
 }
 
-/// Why a replica stopped.
+/// The failure of a replica.
 #[derive(Debug, Snafu)]
 #[snafu(display("the replica stopped: {reason}"))]
 pub(super) struct ReplicaFailure {
@@ -165,10 +165,11 @@
         }
     }
 
-    /// Whether what is on disk is uncertain.
+    /// Whether the contents of the disk are uncertain.
     fn is_flush(&self) -> bool {
-        self.operation.is_none_or(|operation| operation == FLUSH)
+        self.operation
+            .is_none_or(|operation| operation == FLUSH_OPERATION)
     }
 }
 
-const _: () = assert!(NODE_SILENCE.as_millis() > ELECTION_TIMEOUT.as_millis());
+const _: () = assert!(NODE_TIMEOUT.as_millis() > ELECTION_TIMEOUT.as_millis());
--- a/crates/courseshed-edge/src/controller/worker.rs
+++ b/crates/courseshed-edge/src/controller/worker.rs
@@ -1,7 +1,7 @@
 //! The thread that drives the replica of the controllers' log.
 //!
-//! It takes in all that came while it wrote, then writes once. Invariant: what is answered as
-//! committed was applied here under the term in which it was proposed.
+//! It batches the inputs that arrive during a write into the next one. Invariant: a command is answered
+//! as committed only if it was applied on this replica in the term in which it was proposed.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -16,25 +16,25 @@
 use courseshed_types::NodeId;
 use tokio::sync::oneshot;
 
-use super::handle::{FRESH_LIMIT, Input, Published, Reading, Shared};
-use super::housekeeping::{Housekeeper, INTERVAL, replicas_wanted};
+use super::handle::{Input, MAX_STATE_AGE, Published, ReadKind, Shared};
+use super::housekeeping::{HOUSEKEEPING_INTERVAL, Housekeeper, replicas_wanted};
 use super::quotas::OwnedQuotas;
 use super::replica::{Group, ReplicaFailure, WorkerOptions};
 use crate::peers::Peers;
 use crate::protocol::{PeerMessage, PeerPort, PeerReply, node_of};
 
-/// Inputs taken in before one write.
-const BATCH: usize = 256;
+/// Maximum number of queued inputs added to a batch, which is written once.
+const MAX_BATCH: usize = 256;
 
-/// What was shown last, which a replica that is opened again never falls behind.
+/// The last published state, which is kept until a reopened replica has caught up with it.
 #[derive(Clone, Default)]
-pub(super) struct Shown {
+pub(super) struct LastPublished {
     published: Published,
     applied: LogIndex,
 }
 
-impl Shown {
-    /// The same state, of a controller that hears no leader.
+impl LastPublished {
+    /// The same state without a leader.
     pub(super) fn without_leader(&self) -> Published {
         Published {
             is_leader: false,
@@ -51,16 +51,16 @@
     pub(super) peers: Arc<Peers>,
     pub(super) options: WorkerOptions,
     proposals: BTreeMap<LogIndex, (Term, Option<oneshot::Sender<PeerReply>>)>,
-    reads: BTreeMap<ReadId, (Reading, oneshot::Sender<PeerReply>)>,
+    reads: BTreeMap<ReadId, (ReadKind, oneshot::Sender<PeerReply>)>,
     pub(super) housekeeper: Option<Housekeeper>,
     /// The owner of tenants' permits, while this controller leads.
     pub(super) quota: Option<OwnedQuotas>,
     next_housekeeping: Duration,
     freshness: CommitFreshness,
-    /// Since when this replica lacks what it was told to be committed, once that was said in the log.
+    /// Since when this replica lacks committed entries, once this was logged.
     behind_since: Option<Duration>,
-    pub(super) shown: Shown,
-    has_news: bool,
+    pub(super) last_published: LastPublished,
+    has_changes: bool,
 }
 
 impl Worker {
@@ -69,7 +69,7 @@
         options: WorkerOptions,
         shared: Arc<Shared>,
         peers: Arc<Peers>,
-        shown: Shown,
+        last_published: LastPublished,
     ) -> Self {
         let address = group.status().address;
         let mut worker = Self {
@@ -85,31 +85,31 @@
             next_housekeeping: Duration::ZERO,
             freshness: CommitFreshness::default(),
             behind_since: None,
-            shown,
-            has_news: true,
+            last_published,
+            has_changes: true,
         };
         worker.publish();
         worker
     }
 
-    /// Runs until the replica fails; none when the process ends.
+    /// Runs until the replica fails; none if the input channel was closed.
     pub(super) fn run(&mut self, inputs: &Receiver<Input>) -> Option<ReplicaFailure> {
         loop {
-            // First of all what the disk held, which serves before anyone is heard.
+            // First publish the state recovered from disk, which can be served before any peer is reached.
             self.group.tick(self.now());
-            self.keep_house();
+            self.run_housekeeping();
             let outputs = self.group.take_outputs();
-            self.carry_out(outputs);
-            self.note_applied();
+            self.process_outputs(outputs);
+            self.update_freshness();
             if let Some(failure) = self.group.failure() {
                 return Some(ReplicaFailure::of(failure));
             }
             self.publish();
-            match inputs.recv_timeout(self.time_to_wait()) {
+            match inputs.recv_timeout(self.wait_timeout()) {
                 Ok(first) => {
-                    self.take_in(first);
-                    for input in inputs.try_iter().take(BATCH) {
-                        self.take_in(input);
+                    self.handle_input(first);
+                    for input in inputs.try_iter().take(MAX_BATCH) {
+                        self.handle_input(input);
                     }
                 }
                 Err(RecvTimeoutError::Timeout) => {}
@@ -122,7 +122,7 @@
         self.shared.clock().now()
     }
 
-    fn time_to_wait(&self) -> Duration {
+    fn wait_timeout(&self) -> Duration {
         let mut wakeup = self.group.next_wakeup();
         if self.housekeeper.is_some() {
             wakeup = wakeup.min(self.next_housekeeping);
@@ -131,28 +131,28 @@
         wakeup.saturating_sub(self.now()).min(longest)
     }
 
-    fn take_in(&mut self, input: Input) {
+    fn handle_input(&mut self, input: Input) {
         match input {
             Input::Consensus(message) => self.on_consensus(message),
             Input::Submit { command, reply } => self.submit(command, Some(reply)),
-            Input::Read { wanted, reply } => self.read(wanted, reply),
+            Input::Read { kind, reply } => self.read(kind, reply),
             Input::Join { address, reply } => {
                 let answer = self.join(address);
                 let _ = reply.send(answer);
             }
             Input::CaughtUp(caught_up) => {
                 if let Some(housekeeper) = &mut self.housekeeper {
-                    housekeeper.note_caught_up(caught_up);
+                    housekeeper.add_caught_up(caught_up);
                     self.next_housekeeping = Duration::ZERO;
                 }
             }
-            Input::Heard { servers, nodes } => self.on_heard(servers, nodes),
+            Input::Heartbeats { servers, nodes } => self.on_heartbeats(servers, nodes),
             Input::Quota {
                 gateway,
                 report,
                 reply,
             } => self.on_quota(gateway, report, reply),
-            Input::HandOver => self.hand_over(),
+            Input::TransferLeadership => self.transfer_leadership(),
         }
     }
 
@@ -170,30 +170,30 @@
         self.group.handle(now, message);
     }
 
-    /// Follows how new the state is, and says when it falls behind what is committed.
-    fn note_applied(&mut self) {
+    /// Updates the freshness of the state, and logs when it falls behind or catches up.
+    fn update_freshness(&mut self) {
         let now = self.now();
         let applied = self.group.peer().applied_index();
         self.freshness.note_applied(applied);
-        // One that never was current has been behind since the clock started, with the process.
+        // A replica that was never current is behind since the clock was started.
         let current = self.freshness.current_as_of().unwrap_or(Duration::ZERO);
         let lacked = self.freshness.lacked();
-        let is_behind = lacked.is_some() && now.saturating_sub(current) > FRESH_LIMIT;
+        let is_behind = lacked.is_some() && now.saturating_sub(current) > MAX_STATE_AGE;
         match (self.behind_since, is_behind, lacked) {
             (None, true, Some(lacked)) => {
                 self.behind_since = Some(current);
-                log::warn!(event = "replica_behind", applied = applied.0, committed = lacked.0; "this controller lacks what was committed a while ago");
+                log::warn!(event = "replica_behind", applied = applied.0, committed = lacked.0; "this controller is behind the committed log");
             }
             (Some(since), false, _) => {
                 self.behind_since = None;
                 let behind_ms = now.saturating_sub(since).as_millis() as u64;
-                log::info!(event = "replica_caught_up", applied = applied.0, behind_ms; "this controller has all that is committed again");
+                log::info!(event = "replica_caught_up", applied = applied.0, behind_ms; "this controller has caught up with the committed log");
             }
             _ => {}
         }
     }
 
-    fn on_heard(&mut self, servers: Vec<String>, nodes: Vec<NodeId>) {
+    fn on_heartbeats(&mut self, servers: Vec<String>, nodes: Vec<NodeId>) {
         let now = self.now();
         if let Some(housekeeper) = &mut self.housekeeper {
             housekeeper.liveness.heard_servers(now, servers);
@@ -208,13 +208,13 @@
     }
 
     pub(super) fn submit(&mut self, command: Command, reply: Option<oneshot::Sender<PeerReply>>) {
-        if let Some(refusal) = self.refusal(&command) {
+        if let Some(rejection) = self.rejection(&command) {
             if let Some(reply) = reply {
-                let _ = reply.send(refusal);
+                let _ = reply.send(rejection);
             }
             return;
         }
-        let data = rmp_serde::to_vec_named(&command).expect("commands can always be encoded");
+        let data = rmp_serde::to_vec_named(&command).expect("encoding a command is infallible");
         let now = self.now();
         match self.group.propose(now, data) {
             Ok(id) => {
@@ -232,8 +232,8 @@
         }
     }
 
-    /// Refuses what the leader knows to be impossible although the state alone would allow it.
-    fn refusal(&self, command: &Command) -> Option<PeerReply> {
+    /// Rejects a retirement that would leave too few stores, not counting silent ones.
+    fn rejection(&self, command: &Command) -> Option<PeerReply> {
         let Command::Retire { name, .. } = command else {
             return None;
         };
@@ -245,17 +245,17 @@
         }
         let silent = housekeeper.liveness.silent_stores(now, state);
         let retiring = state.retiring();
-        let is_left = |node: &&NodeId| !silent.contains(node) && !retiring.contains(node);
-        let left = state.stores().keys().filter(is_left).count();
+        let remains = |node: &&NodeId| !silent.contains(node) && !retiring.contains(node);
+        let remaining = state.stores().keys().filter(remains).count();
         let is_known = state.stores().values().any(|store| store.name == *name);
-        let too_few = is_known && left <= replicas_wanted(self.options.losses.disks);
+        let too_few = is_known && remaining <= replicas_wanted(self.options.losses.disks);
         too_few.then_some(PeerReply::Committed(Outcome::TooFew))
     }
 
-    fn read(&mut self, wanted: Reading, reply: oneshot::Sender<PeerReply>) {
+    fn read(&mut self, kind: ReadKind, reply: oneshot::Sender<PeerReply>) {
         match self.group.read_barrier(self.now()) {
             Ok(id) => {
-                self.reads.insert(id, (wanted, reply));
+                self.reads.insert(id, (kind, reply));
             }
             Err(_) => {
                 let _ = reply.send(self.not_leader());
@@ -263,7 +263,7 @@
         }
     }
 
-    fn hand_over(&mut self) {
+    fn transfer_leadership(&mut self) {
         let status = self.group.status();
         let best = status
             .followers
@@ -272,16 +272,16 @@
             .max_by_key(|follower| follower.matched);
         if let Some(best) = best {
             let result = self.group.transfer_leadership(self.now(), best.replica);
-            log::info!(event = "hand_over", to = best.replica.0, accepted = result.is_ok(); "handing leadership over");
+            log::info!(event = "hand_over", to = best.replica.0, accepted = result.is_ok(); "transferring leadership");
         }
     }
 
-    fn keep_house(&mut self) {
+    fn run_housekeeping(&mut self) {
         let now = self.now();
         if now < self.next_housekeeping {
             return;
         }
-        self.next_housekeeping = now + INTERVAL;
+        self.next_housekeeping = now + HOUSEKEEPING_INTERVAL;
         if !self.group.is_established() {
             return;
         }
@@ -291,10 +291,10 @@
         for command in housekeeper.due(now, self.group.machine()) {
             self.submit(command, None);
         }
-        self.keep_quotas();
+        self.update_quotas();
     }
 
-    fn carry_out(&mut self, outputs: GroupOutputs<Option<Outcome>>) {
+    fn process_outputs(&mut self, outputs: GroupOutputs<Option<Outcome>>) {
         for message in outputs.messages {
             let to = node_of(message.to);
             let address = self.options.addresses.of(to, PeerPort::Controller);
@@ -302,8 +302,8 @@
             let _ = self.peers.send(to, PeerMessage::Consensus(message));
         }
         for applied in outputs.applied {
-            self.has_news = true;
-            self.note_bounds(applied.output.as_ref());
+            self.has_changes = true;
+            self.apply_bounds(applied.output.as_ref());
             if let Some((term, reply)) = self.proposals.remove(&applied.index) {
                 let committed = (term == applied.term)
                     .then_some(applied.output)
@@ -315,14 +315,14 @@
             }
         }
         if outputs.installed.is_some() {
-            self.has_news = true;
+            self.has_changes = true;
         }
         for read in outputs.reads {
-            if let Some((wanted, reply)) = self.reads.remove(&read.id) {
+            if let Some((kind, reply)) = self.reads.remove(&read.id) {
                 let routing = self.group.machine().routing();
-                let _ = reply.send(match wanted {
-                    Reading::Routing => PeerReply::Routing(routing.cloned()),
-                    Reading::RoutingVersion => {
+                let _ = reply.send(match kind {
+                    ReadKind::Routing => PeerReply::Routing(routing.cloned()),
+                    ReadKind::RoutingVersion => {
                         PeerReply::RoutingVersion(routing.map(|routing| routing.table.version))
                     }
                 });
@@ -334,8 +334,8 @@
     }
 
     fn on_role_change(&mut self, change: RoleChange) {
-        log::info!(event = "role_changed", role:? = change.role, term = change.term.0, leader = change.leader.map_or(0, |leader| leader.0); "the part of this controller changed");
-        self.has_news = true;
+        log::info!(event = "role_changed", role:? = change.role, term = change.term.0, leader = change.leader.map_or(0, |leader| leader.0); "the role of this controller changed");
+        self.has_changes = true;
         for (_, (_, reply)) in std::mem::take(&mut self.proposals) {
             if let Some(reply) = reply {
                 let _ = reply.send(PeerReply::OutcomeUnknown);
@@ -365,13 +365,13 @@
         if has_lease {
             self.freshness.note_committed(now, applied);
         }
-        let news = std::mem::take(&mut self.has_news);
-        if news && applied >= self.shown.applied {
-            self.shown.applied = applied;
-            self.shown.published.state = Arc::new(self.group.machine().clone());
+        let has_changes = std::mem::take(&mut self.has_changes);
+        if has_changes && applied >= self.last_published.applied {
+            self.last_published.applied = applied;
+            self.last_published.published.state = Arc::new(self.group.machine().clone());
         }
         let published = Published {
-            state: self.shown.published.state.clone(),
+            state: self.last_published.published.state.clone(),
             incarnation: self.address.incarnation,
             is_voter: configuration.is_voter(self.address),
             is_leader,
@@ -382,13 +382,13 @@
                 .collect(),
             current_as_of: self.freshness.current_as_of(),
         };
-        self.shown.published = published.clone();
+        self.last_published.published = published.clone();
         if has_lease {
-            // All that this leader said was committed has been applied, and is shown.
+            // Everything that this leader reported as committed is applied and published.
             let routing = published.state.routing();
             let version = routing.map(|routing| routing.table.version);
-            self.shared.note_confirmed(now, version);
+            self.shared.record_confirmed(now, version);
         }
-        self.shared.publish(published, news);
+        self.shared.publish(published, has_changes);
     }
 }
--- a/crates/courseshed-edge/tests/controllers.rs
+++ b/crates/courseshed-edge/tests/controllers.rs
@@ -32,7 +32,7 @@
             .replace_routing(table(5), Bytes::new())
             .await;
         assert_eq!(refused, Err(ControlError::OutcomeUnknown));
-        assert!(!fleet.controller.hears_a_leader());
+        assert!(!fleet.controller.is_up_to_date());
         fleet.disk_faults.set(DiskFault::None);
         until(async || {
             let document = Bytes::from_static(b"five");
@@ -42,6 +42,6 @@
         .await;
         let held = fleet.controller.routing().await.expect("a table");
         assert_eq!(held.table.version, 5);
-        assert!(fleet.controller.hears_a_leader());
+        assert!(fleet.controller.is_up_to_date());
     }
 }
--- a/crates/courseshed-edge/tests/lagging_controller.rs
+++ b/crates/courseshed-edge/tests/lagging_controller.rs
@@ -273,11 +273,11 @@
     let known = fleet.controller.retirement("store-1");
     assert_eq!(known, Err(ControlError::UnknownMachine));
     fleet.leader.commit(2);
-    until(async || !fleet.controller.hears_a_leader()).await;
+    until(async || !fleet.controller.is_up_to_date()).await;
     let unsure = fleet.controller.retirement("store-1");
     assert_eq!(unsure, Err(ControlError::OutcomeUnknown));
     fleet.let_catch_up();
-    until(async || fleet.controller.hears_a_leader()).await;
+    until(async || fleet.controller.is_up_to_date()).await;
     let known = fleet.controller.retirement("store-1");
     assert_eq!(known, Err(ControlError::UnknownMachine));
 }
