--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -1,7 +1,7 @@
 //! Authenticates calls and checks that their API keys are still valid.
 //!
 //! Invariant: a call is sent to a server only while its key belongs to the tenant that the server
-//! is told, according to a routing table proven current less than [`AccessTerms::proof_ttl`] ago.
+//! is told, according to a routing table proven current less than [`AccessPolicy::proof_ttl`] ago.
 //! The age of the proof is measured from when this gateway sent the request that a controller
 //! answered on behalf of the leader, so no clocks of different machines are compared. In the worst
 //! case the proof was issued just before a revocation was acknowledged, and the call is sent
@@ -42,14 +42,14 @@
 
 /// How long keys are accepted without fresh proof that the routing table is current.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct AccessTerms {
+pub struct AccessPolicy {
     /// Age at which the proof of a routing table expires; `None` if the last known table never
     /// expires.
     proof_ttl: Option<Duration>,
 }
 
-impl AccessTerms {
-    /// Terms under which a revoked key is rejected everywhere within `revocation` of the
+impl AccessPolicy {
+    /// The policy under which a revoked key is rejected everywhere within `revocation` of the
     /// acknowledgement of its removal.
     #[must_use]
     pub fn strict(revocation: Duration) -> Self {
@@ -73,7 +73,7 @@
     /// # Errors
     /// [`Refusal::UnknownKey`] if the key belongs to no tenant, [`Refusal::NoProof`] if the proof
     /// is too old to tell.
-    pub fn identify(
+    pub fn authenticate(
         &self,
         credential: Credential,
         route: &Route,
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -80,7 +80,7 @@
         loop {
             let candidates = self.candidates(demand, preference, width, now);
             let is_all = candidates.len() >= all;
-            let open: Vec<&ServerStats> = candidates
+            let available: Vec<&ServerStats> = candidates
                 .iter()
                 .map(|stats| &**stats)
                 .filter(|stats| self.is_eligible(&stats.server))
@@ -93,7 +93,7 @@
                 .filter(|stats| !excluded.contains(&stats.server.id))
                 .filter(|stats| stats.in_flight < demand.max_in_flight)
                 .collect();
-            let chosen = self.choose_among(self.prefer_warm(open), demand, now, salt);
+            let chosen = self.choose_among(self.prefer_warm(available), demand, now, salt);
             let is_last = is_all || (width >= MAX_WIDTH && chosen.is_some());
             if is_last || chosen.is_some_and(|chosen| !chosen.is_crowded()) {
                 return chosen.map(|stats| SelectedServer::of(&stats.server));
@@ -142,22 +142,26 @@
 
     fn choose_among<'a>(
         &self,
-        open: Vec<&'a ServerStats>,
+        available: Vec<&'a ServerStats>,
         demand: &Demand,
         now: Duration,
         salt: u64,
     ) -> Option<&'a ServerStats> {
         let probed = |stats: &&&ServerStats| self.standing(stats, now) == Standing::Probed;
-        if let Some(probed) = open.iter().find(probed) {
+        if let Some(probed) = available.iter().find(probed) {
             return Some(probed);
         }
-        let trusted: Vec<&ServerStats> = open
+        let trusted: Vec<&ServerStats> = available
             .iter()
             .copied()
             .filter(|stats| stats.backoff_until <= now)
             .filter(|stats| self.standing(stats, now) == Standing::Trusted)
             .collect();
-        let candidates = if trusted.is_empty() { open } else { trusted };
+        let candidates = if trusted.is_empty() {
+            available
+        } else {
+            trusted
+        };
         let median_latency_ms = median_ms(&candidates);
         let latency = self.latency_of(demand.service);
         let cost = |stats: &ServerStats| {
@@ -171,13 +175,13 @@
     }
 
     /// The servers known to be warm, or all if there are none.
-    fn prefer_warm<'a>(&self, open: Vec<&'a ServerStats>) -> Vec<&'a ServerStats> {
-        let warm: Vec<&ServerStats> = open
+    fn prefer_warm<'a>(&self, available: Vec<&'a ServerStats>) -> Vec<&'a ServerStats> {
+        let warm: Vec<&ServerStats> = available
             .iter()
             .copied()
             .filter(|stats| !self.is_cold(&stats.server))
             .collect();
-        if warm.is_empty() { open } else { warm }
+        if warm.is_empty() { available } else { warm }
     }
 
     fn cost_inputs(
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -11,7 +11,7 @@
 
 use tokio::time::Instant;
 
-use super::access::{AccessTerms, TenantTerms};
+use super::access::{AccessPolicy, TenantTerms};
 use super::call::CallCodec;
 use super::memory_budget::HeldTerms;
 use super::memory_tracker::MemoryTracker;
@@ -38,7 +38,7 @@
     pub metrics: Arc<Metrics>,
     pub policy: Policy,
     /// How long keys stay usable without fresh proof that the routing table is current.
-    pub access: AccessTerms,
+    pub access: AccessPolicy,
     /// Rate-limit permits of tenants with a quota.
     pub quotas: Quotas,
     pub clock: Clock,
@@ -90,7 +90,7 @@
             tenants,
             memory,
         } = config;
-        let access = tenants.revocation.map(AccessTerms::strict);
+        let access = tenants.revocation.map(AccessPolicy::strict);
         Rc::new(Self {
             codec,
             follower,
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -33,7 +33,7 @@
 mod stream;
 mod upstream;
 
-pub use access::{AccessTerms, Caller, Identity, TenantTerms};
+pub use access::{AccessPolicy, Caller, Identity, TenantTerms};
 pub use call::{
     AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
 };
--- a/crates/courseshed-edge/src/gateway/outcomes.rs
+++ b/crates/courseshed-edge/src/gateway/outcomes.rs
@@ -42,20 +42,20 @@
         let tracked = tracked.filter(|stats| stats.server.service == service);
         let unreported = listed.saturating_sub(tracked.count());
         let mut ids = Vec::new();
-        let mut judged: Vec<(&mut Avoidance, OutcomeCounts)> = Vec::new();
+        let mut evaluated: Vec<(&mut Avoidance, OutcomeCounts)> = Vec::new();
         for (id, stats) in &mut self.stats {
             if stats.server.service == service && stats.server.state == ServerState::Ready {
                 let counts = stats.outcomes(now);
                 let calls = stats.calls();
                 stats.avoidance.note_calls(calls);
                 ids.push((id, counts));
-                judged.push((&mut stats.avoidance, counts));
+                evaluated.push((&mut stats.avoidance, counts));
             }
         }
         let mut untracked = vec![Avoidance::default(); unreported.min(MAX_UNREPORTED_SERVERS)];
         let unreported = untracked.iter_mut();
-        judged.extend(unreported.map(|avoidance| (avoidance, OutcomeCounts::default())));
-        let changes = advance_service(&mut judged, now);
+        evaluated.extend(unreported.map(|avoidance| (avoidance, OutcomeCounts::default())));
+        let changes = advance_service(&mut evaluated, now);
         let counts_age = now.saturating_sub(self.load_reported_at);
         for ((id, counts), change) in ids.into_iter().zip(changes) {
             self.changes.extend(change.map(|change| OutcomeChange {
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -277,7 +277,7 @@
         return Err(Refusal::NoRoute);
     };
     wait_for_proof(core, &routing, wait).await;
-    let caller = identify(core, &call, &route, &routing)?;
+    let caller = authenticate(core, &call, &route, &routing)?;
     let service = core.split(&route).ok_or(Refusal::NoRoute)?;
     let known = routing.table.service(&service);
     let engine = known.and_then(|service| service.engine.as_ref());
@@ -317,7 +317,7 @@
 }
 
 /// Authenticates a call against the routing table that its route comes from.
-fn identify(
+fn authenticate(
     core: &GatewayCore,
     call: &CallEnvelope,
     route: &Route,
@@ -326,7 +326,7 @@
     let proof_age = core.follower.proof_age();
     let identified = core
         .access
-        .identify(call.credential, route, &routing.table, proof_age);
+        .authenticate(call.credential, route, &routing.table, proof_age);
     let identified = identified.map_err(|refusal| match refusal {
         Refusal::NoProof { .. } => Refusal::NoProof {
             is_everywhere: core.follower.hears_controllers(),
--- a/crates/courseshed-edge/tests/access.rs
+++ b/crates/courseshed-edge/tests/access.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_edge::gateway::{AccessTerms, Credential, Refusal};
+use courseshed_edge::gateway::{AccessPolicy, Credential, Refusal};
 use courseshed_routing::{
     CallKind, CallLimits, KeyDigest, Route, RoutingTable, Tenant, VersionedTable,
 };
@@ -76,9 +76,9 @@
     proof_age: Option<Duration>,
     expected: Result<Option<&str>, Refusal>,
 ) {
-    let terms = AccessTerms::strict(REVOCATION);
+    let terms = AccessPolicy::strict(REVOCATION);
     let table = table(1, Some(&[("a", "k1"), ("b", "k2")])).table;
-    let caller = terms.identify(credential, &route(false), &table, proof_age);
+    let caller = terms.authenticate(credential, &route(false), &table, proof_age);
     let name = caller
         .as_ref()
         .map(|caller| caller.tenant_name())
@@ -91,10 +91,10 @@
 
 #[test]
 fn public_routes_need_no_key_and_show_none() {
-    let terms = AccessTerms::strict(REVOCATION);
+    let terms = AccessPolicy::strict(REVOCATION);
     let table = table(1, Some(&[("a", "k1")])).table;
     let caller = terms
-        .identify(key("k9"), &route(true), &table, None)
+        .authenticate(key("k9"), &route(true), &table, None)
         .expect("let in");
     assert_eq!(caller.tenant_name(), None);
     assert!(caller.hides_key);
@@ -102,9 +102,9 @@
 
 #[test]
 fn without_tenants_everyone_is_let_in_as_before() {
-    let terms = AccessTerms::strict(REVOCATION);
+    let terms = AccessPolicy::strict(REVOCATION);
     let caller = terms
-        .identify(
+        .authenticate(
             Credential::Missing,
             &route(false),
             &table(1, None).table,
@@ -117,9 +117,9 @@
 
 #[test]
 fn keys_are_used_without_proof_where_that_is_allowed() {
-    let terms = AccessTerms::default();
+    let terms = AccessPolicy::default();
     let table = table(1, Some(&[("a", "k1")])).table;
-    let caller = terms.identify(key("k1"), &route(false), &table, None);
+    let caller = terms.authenticate(key("k1"), &route(false), &table, None);
     assert!(caller.is_ok());
 }
 
@@ -136,10 +136,10 @@
     proof_age: Option<Duration>,
     expected: Result<(), Refusal>,
 ) {
-    let terms = AccessTerms::strict(REVOCATION);
+    let terms = AccessPolicy::strict(REVOCATION);
     let before = table(1, Some(&[("a", "k1")])).table;
     let caller = terms
-        .identify(key("k1"), &route(false), &before, aged(0))
+        .authenticate(key("k1"), &route(false), &before, aged(0))
         .expect("let in");
     assert_eq!(terms.recheck(&caller, 1, &now, proof_age), expected);
 }
@@ -149,7 +149,7 @@
     short = { 1_000, 875 },
 )]
 fn a_proof_lapses_before_the_key_must_be_out_of_use(revocation_ms: u64, lasts_ms: u64) {
-    let terms = AccessTerms::strict(Duration::from_millis(revocation_ms));
+    let terms = AccessPolicy::strict(Duration::from_millis(revocation_ms));
     assert!(terms.is_proven(aged(lasts_ms - 1)));
     assert!(!terms.is_proven(aged(lasts_ms)));
 }
--- a/crates/courseshed-edge/tests/proof_simulation.rs
+++ b/crates/courseshed-edge/tests/proof_simulation.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::Duration;
 
-use courseshed_edge::gateway::AccessTerms;
+use courseshed_edge::gateway::AccessPolicy;
 use courseshed_registry::{Confirmations, ProofKeeper, RoutingProof};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
@@ -321,7 +321,7 @@
         let age = node
             .proofs
             .age(self.now + node.clock_ahead, Some(node.held));
-        if !AccessTerms::strict(REVOCATION).is_proven(age) {
+        if !AccessPolicy::strict(REVOCATION).is_proven(age) {
             return;
         }
         self.sends += 1;
