--- a/crates/courseshed-dispatch/src/config.rs
+++ b/crates/courseshed-dispatch/src/config.rs
@@ -84,7 +84,7 @@
     /// Slow-start time over which a recovered engine ramps up to its full batch size.
     pub slow_start: Duration,
     /// Time to live of a cache lease.
-    pub lease: Duration,
+    pub lease_ttl: Duration,
     /// Maximum time the prefix of a paused program is leased.
     pub max_hold: Duration,
     /// Age after which the call counts of a load report are ignored.
@@ -123,7 +123,7 @@
             failures_to_eject: 3,
             probe_calls: 1,
             slow_start: Duration::from_secs(5),
-            lease: Duration::from_secs(10),
+            lease_ttl: Duration::from_secs(10),
             max_hold: Duration::from_secs(300),
             max_report_age: Duration::from_secs(10),
             program_idle_timeout: Duration::from_secs(3_600),
--- a/crates/courseshed-dispatch/src/dispatcher.rs
+++ b/crates/courseshed-dispatch/src/dispatcher.rs
@@ -93,7 +93,7 @@
 
     /// Asks the leaders of shards to announce their calls in this pool. A driver that knows the
     /// leaders should call this right after creating the dispatcher.
-    pub fn ask_announcements(&mut self, shards: &[ShardLeader]) {
+    pub fn request_announcements(&mut self, shards: &[ShardLeader]) {
         for shard in shards {
             let event = courseshed_types::dispatch::DispatchEvent {
                 shard: shard.shard,
--- a/crates/courseshed-dispatch/src/explain.rs
+++ b/crates/courseshed-dispatch/src/explain.rs
@@ -149,7 +149,7 @@
         let entry = EngineStats {
             engine: id.clone(),
             state: engine.member.state,
-            takes_work: engine.accepts_calls(now, &state.pool.model),
+            accepts_calls: engine.accepts_calls(now, &state.pool.model),
             ejected_until: engine.health.ejected_until,
             in_flight: engine.in_flight,
             call_limit: engine.call_limit(&state.config, now),
--- a/crates/courseshed-dispatch/src/output.rs
+++ b/crates/courseshed-dispatch/src/output.rs
@@ -89,7 +89,7 @@
     /// State in the engine directory.
     pub state: EngineState,
     /// Whether the engine accepts new calls, capacity aside.
-    pub takes_work: bool,
+    pub accepts_calls: bool,
     /// End of the current ejection.
     pub ejected_until: Option<Timestamp>,
     /// Calls of this dispatcher in flight on the engine.
@@ -144,7 +144,7 @@
     /// Calls shed because their expected wait exceeded their remaining queue time.
     pub shed_unservable: u64,
     /// Calls dropped because their shard no longer announces them.
-    pub forgotten_calls: u64,
+    pub dropped_calls: u64,
 }
 
 /// Dispatcher statistics for operators.
--- a/crates/courseshed-dispatch/src/systems/announcement.rs
+++ b/crates/courseshed-dispatch/src/systems/announcement.rs
@@ -43,7 +43,7 @@
         .map(|(id, _)| *id)
         .collect();
     for call in unannounced {
-        state.counters.forgotten_calls += 1;
+        state.counters.dropped_calls += 1;
         requests::remove_call(state, call);
     }
 }
--- a/crates/courseshed-dispatch/src/systems/cache_view.rs
+++ b/crates/courseshed-dispatch/src/systems/cache_view.rs
@@ -260,7 +260,7 @@
         .engines
         .get(engine)
         .is_some_and(|entry| entry.member.models.len() == 1);
-    if !serves_one_model || now < state.grace_until + state.config.lease {
+    if !serves_one_model || now < state.grace_until + state.config.lease_ttl {
         return;
     }
     for entry in listing {
--- a/crates/courseshed-dispatch/src/systems/pauses/mod.rs
+++ b/crates/courseshed-dispatch/src/systems/pauses/mod.rs
@@ -165,7 +165,7 @@
 }
 
 fn renew_lease(state: &mut State, now: Timestamp, program: ProgramId, engine: EngineId) {
-    let time_to_live = state.config.lease;
+    let time_to_live = state.config.lease_ttl;
     remove_lease(state, program);
     let Some(entry) = state.programs.get_mut(&program) else {
         return;
--- a/crates/courseshed-dispatch/tests/calls.rs
+++ b/crates/courseshed-dispatch/tests/calls.rs
@@ -111,7 +111,7 @@
     let stats = driver.dispatcher.stats(driver.now);
     assert_eq!(stats.in_flight, 1);
     assert_eq!(stats.engines[&"e1".into()].in_flight, 1);
-    assert_eq!(stats.counters.forgotten_calls, 1);
+    assert_eq!(stats.counters.dropped_calls, 1);
 }
 
 #[test]
--- a/crates/courseshed-edge/src/controller/handle.rs
+++ b/crates/courseshed-edge/src/controller/handle.rs
@@ -10,8 +10,8 @@
 use courseshed_quota::QuotaReport;
 use courseshed_records::CaughtUp;
 use courseshed_registry::{
-    Command, Confirmations, FleetState, FleetUpdate, Known, LoadBoard, LoadReport, Outcome,
-    Registration, Retirement, RoutingInForce, RoutingProof, ServerState,
+    ActiveRouting, Command, Confirmations, FleetState, FleetUpdate, FollowerRevisions,
+    LoadAggregator, LoadReport, Outcome, Registration, Retirement, RoutingProof, ServerState,
 };
 use courseshed_routing::{RecentTables, VersionedTable};
 use courseshed_types::{NodeId, ZoneMap};
@@ -111,7 +111,7 @@
     peers: Mutex<Option<Arc<Peers>>>,
     published: watch::Sender<Published>,
     heartbeats: Mutex<Heartbeats>,
-    load: Mutex<LoadBoard>,
+    load: Mutex<LoadAggregator>,
     confirmations: Mutex<Confirmations>,
     tables: Mutex<RecentTables>,
 }
@@ -141,7 +141,7 @@
 
     /// Records that a version of the routing table was the newest at `at` or later.
     pub(crate) fn record_confirmed(&self, at: Duration, version: Option<u64>) {
-        self.confirmations.lock().note(at, version);
+        self.confirmations.lock().record(at, version);
     }
 
     /// The proof for a state's routing table, for a request that arrived at `arrived`.
@@ -188,7 +188,7 @@
     }
 
     /// Changes from a follower's known state to `state`.
-    pub(crate) fn update_for(&self, state: &FleetState, known: Known) -> FleetUpdate {
+    pub(crate) fn update_for(&self, state: &FleetState, known: FollowerRevisions) -> FleetUpdate {
         let mut update = state.update_for(known);
         if known.takes_parts {
             update.table_part = self.tables.lock().part_for(known.routing, known.parts);
@@ -230,20 +230,20 @@
     pub(crate) fn exchange_load(&self, gateway: NodeId, report: LoadReport) -> LoadReport {
         let now = self.clock.now();
         let mut board = self.load.lock();
-        board.note_gateway(now, gateway, report);
-        board.all_but(now, gateway)
+        board.record_gateway(now, gateway, report);
+        board.sum_excluding(now, gateway)
     }
 
     /// Records the load of gateways that follow another controller.
     pub(crate) fn record_controller_load(&self, controller: NodeId, report: LoadReport) {
         let now = self.clock.now();
-        self.load.lock().note_controller(now, controller, report);
+        self.load.lock().record_controller(now, controller, report);
     }
 
     pub(super) fn own_gateways_load(&self) -> LoadReport {
         let now = self.clock.now();
         let mut board = self.load.lock();
-        board.forget_old(now);
+        board.remove_expired(now);
         board.own_gateways(now)
     }
 
@@ -276,7 +276,7 @@
     pub async fn announce(&self, registration: Registration) -> Result<(), ControlError> {
         let id = registration.server.id.clone();
         let state = self.shared.published().state;
-        if !state.is_ordinary(&registration) {
+        if !state.is_redundant(&registration) {
             let is_leaving = registration.server.state == ServerState::Draining;
             let result = self.submit(Command::Announce(registration)).await;
             log::info!(event = "server_announced", server = id.as_str(), is_leaving, committed = result.is_ok(); "a server registered or changed its registration");
@@ -341,7 +341,7 @@
         match self.ask_leader(make_request).await? {
             PeerReply::Committed(Outcome::Done) => Ok(()),
             PeerReply::Committed(Outcome::UnknownMachine) => Err(ControlError::UnknownMachine),
-            PeerReply::Committed(Outcome::TooFew) => Err(ControlError::TooFew),
+            PeerReply::Committed(Outcome::TooFewStores) => Err(ControlError::TooFew),
             _ => Err(ControlError::OutcomeUnknown),
         }
     }
@@ -350,7 +350,7 @@
     ///
     /// # Errors
     /// Returns [`ControlError::OutcomeUnknown`] if no quorum confirmed it, [`ControlError::NoRouting`] if none was set yet.
-    pub async fn routing(&self) -> Result<RoutingInForce, ControlError> {
+    pub async fn routing(&self) -> Result<ActiveRouting, ControlError> {
         match self.ask_leader(|| PeerRequest::ReadRouting).await? {
             PeerReply::Routing(routing) => routing.ok_or(ControlError::NoRouting),
             _ => Err(ControlError::OutcomeUnknown),
--- a/crates/courseshed-edge/src/controller/housekeeping.rs
+++ b/crates/courseshed-edge/src/controller/housekeeping.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_records::{CaughtUp, MapPlan, Spread, plan_map};
+use courseshed_records::{CaughtUp, MapPlan, PlacementPolicy, plan_map};
 use courseshed_registry::{Command, FleetState, Liveness, LivenessSettings, Retirement};
 use courseshed_types::ZoneMap;
 
@@ -76,19 +76,19 @@
         let caught_up = std::mem::take(&mut self.caught_up);
         let silent = self.liveness.silent_stores(now, state);
         let retiring = state.retiring();
-        let may_found = self.is_store_count_stable(now, state.stores().len());
+        let allow_initial_placement = self.is_store_count_stable(now, state.stores().len());
         let plan = MapPlan {
             map: state.records(),
             stores: state.stores(),
             silent: &silent,
             retiring: &retiring,
-            wanted: replicas_wanted(self.terms.disks),
-            may_found,
-            spread: Spread {
+            replication_factor: replicas_wanted(self.terms.disks),
+            allow_initial_placement,
+            spread: PlacementPolicy {
                 zones: &self.terms.zone_map,
-                zones_borne: self.terms.zones,
-                regions_borne: self.terms.regions,
-                must_stay_home: state
+                tolerated_zone_failures: self.terms.zones,
+                tolerated_region_failures: self.terms.regions,
+                pin_to_home_region: state
                     .routing()
                     .is_some_and(|routing| routing.table.table.has_home_regions()),
             },
--- a/crates/courseshed-edge/src/controller/peers.rs
+++ b/crates/courseshed-edge/src/controller/peers.rs
@@ -5,7 +5,7 @@
 
 use courseshed_consensus::ReplicaAddress;
 use courseshed_records::CaughtUp;
-use courseshed_registry::Known;
+use courseshed_registry::FollowerRevisions;
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
 use courseshed_types::NodeId;
 use tokio::sync::oneshot;
@@ -142,7 +142,7 @@
 /// hold time has passed.
 async fn follow(
     shared: Arc<Shared>,
-    known: Known,
+    known: FollowerRevisions,
     hold_ms: u64,
     arrived: Duration,
     reply: ReplySender<FleetProtocol>,
@@ -155,7 +155,7 @@
         let update = shared.update_for(&published.state, known);
         let is_fresh = shared.is_fresh();
         let left = deadline.saturating_duration_since(Instant::now());
-        if update.can_wait() && is_fresh && !has_batched {
+        if update.is_batchable() && is_fresh && !has_batched {
             has_batched = true;
             sleep(BATCH_DELAY.min(left)).await;
             continue;
--- a/crates/courseshed-edge/src/controller/quotas.rs
+++ b/crates/courseshed-edge/src/controller/quotas.rs
@@ -103,7 +103,7 @@
 
     /// Applies a committed change of the bounds.
     pub(super) fn apply_bounds(&mut self, outcome: Option<&Outcome>) {
-        if let (Some(quotas), Some(Outcome::QuotasBound(bounds))) = (&mut self.quota, outcome) {
+        if let (Some(quotas), Some(Outcome::QuotaBoundsSet(bounds))) = (&mut self.quota, outcome) {
             quotas.owner.on_bounds(bounds);
         }
     }
@@ -113,7 +113,7 @@
             return;
         }
         log::info!(event = "quota_bounds", ceilings = bounds.ceilings.len(), holders = bounds.holders.len(), former_holders = bounds.former_holders.len(); "proposing new bounds on tenants' permits");
-        self.submit(Command::BoundQuotas(bounds), None);
+        self.submit(Command::SetQuotaBounds(bounds), None);
     }
 
     /// Whether this controller leads with a valid lease; if so, makes it the owner of permits.
--- a/crates/courseshed-edge/src/controller/relay.rs
+++ b/crates/courseshed-edge/src/controller/relay.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_registry::pause_after_reports;
+use courseshed_registry::report_interval;
 use courseshed_types::NodeId;
 use tokio::time::sleep;
 
@@ -72,10 +72,10 @@
             .filter(|node| *node != shared.node())
             .collect();
         let report = shared.own_gateways_load();
-        let is_idle = report.lines() == 0;
-        let servers = report.lines() * others.len();
-        let pause = pause_after_reports(others.len(), servers, LOAD_INTERVAL);
-        let report = report.until_next(pause);
+        let is_idle = report.entry_count() == 0;
+        let servers = report.entry_count() * others.len();
+        let pause = report_interval(others.len(), servers, LOAD_INTERVAL);
+        let report = report.with_lifetime_for(pause);
         if let (false, Some(peers)) = (is_idle && was_idle, shared.peers()) {
             for controller in others {
                 let _ = peers.send(controller, PeerMessage::Load(report.clone()));
--- a/crates/courseshed-edge/src/controller/worker.rs
+++ b/crates/courseshed-edge/src/controller/worker.rs
@@ -162,10 +162,10 @@
         if let MessageBody::Append { commit, .. } = message.body
             && message.term >= self.group.term()
         {
-            self.freshness.note_committed(now, commit);
+            self.freshness.record_committed(now, commit);
         }
         if let Some(housekeeper) = &mut self.housekeeper {
-            housekeeper.liveness.heard_node(now, from);
+            housekeeper.liveness.record_node_heartbeat(now, from);
         }
         self.group.handle(now, message);
     }
@@ -174,10 +174,10 @@
     fn update_freshness(&mut self) {
         let now = self.now();
         let applied = self.group.peer().applied_index();
-        self.freshness.note_applied(applied);
+        self.freshness.record_applied(applied);
         // A replica that was never current is behind since the clock was started.
         let current = self.freshness.current_as_of().unwrap_or(Duration::ZERO);
-        let lacked = self.freshness.lacked();
+        let lacked = self.freshness.newest_unapplied();
         let is_behind = lacked.is_some() && now.saturating_sub(current) > MAX_STATE_AGE;
         match (self.behind_since, is_behind, lacked) {
             (None, true, Some(lacked)) => {
@@ -196,9 +196,9 @@
     fn on_heartbeats(&mut self, servers: Vec<String>, nodes: Vec<NodeId>) {
         let now = self.now();
         if let Some(housekeeper) = &mut self.housekeeper {
-            housekeeper.liveness.heard_servers(now, servers);
+            housekeeper.liveness.record_server_heartbeats(now, servers);
             for node in nodes {
-                housekeeper.liveness.heard_node(now, node);
+                housekeeper.liveness.record_node_heartbeat(now, node);
             }
         }
     }
@@ -249,7 +249,7 @@
         let remaining = state.stores().keys().filter(remains).count();
         let is_known = state.stores().values().any(|store| store.name == *name);
         let too_few = is_known && remaining <= replicas_wanted(self.options.losses.disks);
-        too_few.then_some(PeerReply::Committed(Outcome::TooFew))
+        too_few.then_some(PeerReply::Committed(Outcome::TooFewStores))
     }
 
     fn read(&mut self, kind: ReadKind, reply: oneshot::Sender<PeerReply>) {
@@ -363,7 +363,7 @@
         let applied = self.group.peer().applied_index();
         let has_lease = is_leader && self.group.lease_valid(now);
         if has_lease {
-            self.freshness.note_committed(now, applied);
+            self.freshness.record_committed(now, applied);
         }
         let has_changes = std::mem::take(&mut self.has_changes);
         if has_changes && applied >= self.last_published.applied {
--- a/crates/courseshed-edge/src/follower.rs
+++ b/crates/courseshed-edge/src/follower.rs
@@ -9,7 +9,7 @@
 
 use courseshed_records::{PartitionMap, ViewChange};
 use courseshed_registry::{
-    EvacuatedZones, FleetUpdate, Known, ProofKeeper, RoutingProof, ServerList,
+    EvacuatedZones, FleetUpdate, FollowerRevisions, LatestProof, RoutingProof, ServerList,
 };
 use courseshed_routing::{PartsTaken, TableAssembler, VersionedTable};
 use courseshed_types::NodeId;
@@ -83,17 +83,17 @@
     }
 
     /// The initial value of `known`, which marks state that this kind does not need as known.
-    fn initial_known(self) -> Known {
+    fn initial_known(self) -> FollowerRevisions {
         match self {
-            Self::Store => Known {
-                servers: Known::EVERYTHING.servers,
-                removals: Known::EVERYTHING.removals,
+            Self::Store => FollowerRevisions {
+                servers: FollowerRevisions::EVERYTHING.servers,
+                removals: FollowerRevisions::EVERYTHING.removals,
                 takes_parts: true,
-                ..Known::default()
+                ..FollowerRevisions::default()
             },
-            Self::Gateway { .. } => Known {
+            Self::Gateway { .. } => FollowerRevisions {
                 takes_parts: true,
-                ..Known::default()
+                ..FollowerRevisions::default()
             },
         }
     }
@@ -126,7 +126,7 @@
     view: watch::Sender<FleetView>,
     assembler: Mutex<TableAssembler>,
     clock: Clock,
-    proof_keeper: Mutex<ProofKeeper>,
+    proof_keeper: Mutex<LatestProof>,
     /// Notified on each new proof.
     proofs: watch::Sender<()>,
     /// Time of the last response of any controller.
@@ -241,7 +241,7 @@
     /// Loads the initial state from any controller that has one, even if it is not up to date, so that a node can
     /// serve before a leader is elected. All controllers are polled for whether they have state, but only one
     /// transfers it, since the state of a large fleet saturates a gateway's link.
-    async fn load_initial_state(&self) -> Known {
+    async fn load_initial_state(&self) -> FollowerRevisions {
         loop {
             let controllers = self.controllers();
             let mut polls: FuturesUnordered<_> = controllers
@@ -273,7 +273,7 @@
             .iter()
             .map(|node| async move {
                 let answer = self
-                    .send_follow(*node, Known::EVERYTHING, Duration::ZERO)
+                    .send_follow(*node, FollowerRevisions::EVERYTHING, Duration::ZERO)
                     .await?;
                 answer.is_up_to_date.then(|| (*node, began.elapsed()))
             })
@@ -302,10 +302,10 @@
         let mut delay = RETRY_DELAY;
         loop {
             let answer = self
-                .send_follow(controller, Known::EVERYTHING, Duration::ZERO)
+                .send_follow(controller, FollowerRevisions::EVERYTHING, Duration::ZERO)
                 .await;
             match answer {
-                Some(answer) if answer.update.known.is_any() => return controller,
+                Some(answer) if answer.update.known.is_initialized() => return controller,
                 _ => sleep(delay).await,
             }
             delay = (delay * 2).min(MAX_RETRY_DELAY);
@@ -313,7 +313,7 @@
     }
 
     /// Polls a controller; none if it is unreachable, or returned an empty update without being up to date.
-    async fn poll(&self, controller: NodeId, known: Known) -> Option<FleetUpdate> {
+    async fn poll(&self, controller: NodeId, known: FollowerRevisions) -> Option<FleetUpdate> {
         let answer = self
             .send_follow(controller, known, self.poll_timeout())
             .await?;
@@ -324,7 +324,7 @@
     async fn send_follow(
         &self,
         controller: NodeId,
-        known: Known,
+        known: FollowerRevisions,
         poll_timeout: Duration,
     ) -> Option<ControllerResponse> {
         let request = PeerRequest::Follow {
@@ -368,7 +368,7 @@
 
     /// Records a proof received with the response to a request sent at `asked_at`.
     fn record_proof(&self, proof: &RoutingProof, asked_at: Duration) {
-        if self.proof_keeper.lock().note(asked_at, proof) {
+        if self.proof_keeper.lock().record(asked_at, proof) {
             self.proofs.send_replace(());
         }
     }
@@ -384,14 +384,19 @@
         assembler.taken()
     }
 
-    fn apply_update(&self, controller: NodeId, known: Known, mut update: FleetUpdate) -> Known {
+    fn apply_update(
+        &self,
+        controller: NodeId,
+        known: FollowerRevisions,
+        mut update: FleetUpdate,
+    ) -> FollowerRevisions {
         let mut next = update.known;
         next.takes_parts = known.takes_parts;
         next.parts = self.assemble_table(&mut update);
         let received = update.routing.as_ref().map(|table| table.version);
         next.routing = known.routing.max(received);
         let servers = update.servers.as_ref();
-        if !servers.is_some_and(|changes| changes.is_whole) {
+        if !servers.is_some_and(|changes| changes.is_full) {
             next.servers = next.servers.max(known.servers);
             next.removals = next.removals.max(known.removals);
         }
@@ -411,7 +416,7 @@
             if let Some(changes) = update.servers {
                 let changed = changes.changed.len();
                 let removed = changes.removed.len();
-                let is_whole = changes.is_whole;
+                let is_whole = changes.is_full;
                 let servers = Arc::make_mut(&mut view.servers);
                 servers.apply(changes);
                 log::info!(event = "servers_changed", revision = update.known.servers, changed, removed, is_whole, servers = servers.len(); "the list of servers changed");
@@ -442,11 +447,11 @@
     for change in changes {
         let partition = change.partition.0;
         let epoch = change.view.epoch;
-        if records.learn(change) {
+        if records.merge(change) {
             changed.push((partition, epoch));
         }
     }
     if !changed.is_empty() {
-        log::info!(event = "record_views_changed", partitions_and_epochs:? = changed, whole = records.is_whole(); "the replicas of record partitions changed");
+        log::info!(event = "record_views_changed", partitions_and_epochs:? = changed, whole = records.is_fully_active(); "the replicas of record partitions changed");
     }
 }
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_registry::{Server, Standing};
+use courseshed_registry::{Server, ServerAvailability};
 use courseshed_routing::HomeRegions;
 use courseshed_types::{Distance, PromptPart, ServerKey};
 
@@ -147,7 +147,8 @@
         now: Duration,
         salt: u64,
     ) -> Option<&'a ServerStats> {
-        let probed = |stats: &&&ServerStats| self.standing(stats, now) == Standing::Probed;
+        let probed =
+            |stats: &&&ServerStats| self.standing(stats, now) == ServerAvailability::Probed;
         if let Some(probed) = available.iter().find(probed) {
             return Some(probed);
         }
@@ -155,7 +156,7 @@
             .iter()
             .copied()
             .filter(|stats| stats.backoff_until <= now)
-            .filter(|stats| self.standing(stats, now) == Standing::Trusted)
+            .filter(|stats| self.standing(stats, now) == ServerAvailability::Trusted)
             .collect();
         let candidates = if trusted.is_empty() {
             available
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -186,10 +186,10 @@
 
 fn log_change(change: &OutcomeChange) {
     let event = match change.change {
-        AvoidanceChange::Begun => "server_avoided",
+        AvoidanceChange::Started => "server_avoided",
         AvoidanceChange::Ended => "server_trusted_again",
         // Probes keep failing while a server is down; only the start and the end are logged.
-        AvoidanceChange::Prolonged => return,
+        AvoidanceChange::Extended => return,
     };
     log::info!(
         event = event,
--- a/crates/courseshed-edge/src/gateway/directory.rs
+++ b/crates/courseshed-edge/src/gateway/directory.rs
@@ -74,12 +74,12 @@
         self.listed = list.clone();
         for change in &changes {
             match change {
-                ListChange::Listed(server) => self.insert(server),
+                ListChange::Added(server) => self.insert(server),
                 ListChange::Changed { before, now } => {
                     self.remove(before);
                     self.insert(now);
                 }
-                ListChange::Gone(server) => self.remove(server),
+                ListChange::Removed(server) => self.remove(server),
             }
         }
         changes
--- a/crates/courseshed-edge/src/gateway/load.rs
+++ b/crates/courseshed-edge/src/gateway/load.rs
@@ -7,7 +7,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_registry::{LoadReport, pause_after_reports};
+use courseshed_registry::{LoadReport, report_interval};
 use tokio::time::sleep;
 
 use super::core::GatewayCore;
@@ -29,9 +29,9 @@
             .servers
             .borrow()
             .load_report(core.clock.now())
-            .until_next(pause);
-        let is_idle = own.lines() == 0;
-        let sent = own.lines();
+            .with_lifetime_for(pause);
+        let is_idle = own.entry_count() == 0;
+        let sent = own.entry_count();
         let received = if is_idle && was_idle {
             let now = core.clock.now();
             core.servers.borrow_mut().expire_load_report(now);
@@ -41,7 +41,7 @@
         };
         core.reevaluate_avoidance();
         was_idle = is_idle;
-        pause = pause_after_reports(2, sent + received, MIN_EXCHANGE_INTERVAL);
+        pause = report_interval(2, sent + received, MIN_EXCHANGE_INTERVAL);
         sleep(pause).await;
     }
 }
@@ -60,5 +60,5 @@
         return 0;
     };
     servers.apply_load_report(&others, now);
-    others.lines()
+    others.entry_count()
 }
--- a/crates/courseshed-edge/src/gateway/memory_budget.rs
+++ b/crates/courseshed-edge/src/gateway/memory_budget.rs
@@ -48,7 +48,7 @@
     /// reserved for allocator overhead and growth between two polls of the connections, and another
     /// eighth is not available to new bodies.
     #[must_use]
-    pub fn of_machine(memory_bytes: u64) -> Self {
+    pub fn for_machine(memory_bytes: u64) -> Self {
         let total = (memory_bytes.saturating_sub(BASELINE_BYTES) / 8 * 7).max(MIN_BUDGET_BYTES);
         let total_bytes = usize::try_from(total).unwrap_or(usize::MAX);
         Self {
--- a/crates/courseshed-edge/src/gateway/outcomes.rs
+++ b/crates/courseshed-edge/src/gateway/outcomes.rs
@@ -8,7 +8,8 @@
 use std::time::Duration;
 
 use courseshed_registry::{
-    Avoidance, AvoidanceChange, OutcomeCounts, ProbeTurn, ServerState, Standing, advance_service,
+    Avoidance, AvoidanceChange, OutcomeCounts, ProbeTurn, ServerAvailability, ServerState,
+    advance_service,
 };
 
 use super::outcome_change::OutcomeChange;
@@ -25,7 +26,7 @@
         let services: BTreeSet<String> = self
             .stats
             .values()
-            .filter(|stats| stats.avoidance.is_on() || stats.outcomes(now).failed >= 1.0)
+            .filter(|stats| stats.avoidance.is_active() || stats.outcomes(now).failed >= 1.0)
             .map(|stats| stats.server.service.clone())
             .collect();
         for service in services {
@@ -47,7 +48,7 @@
             if stats.server.service == service && stats.server.state == ServerState::Ready {
                 let counts = stats.outcomes(now);
                 let calls = stats.calls();
-                stats.avoidance.note_calls(calls);
+                stats.avoidance.set_in_flight(calls);
                 ids.push((id, counts));
                 evaluated.push((&mut stats.avoidance, counts));
             }
@@ -75,7 +76,7 @@
             if stats.server.service != service {
                 continue;
             }
-            if stats.avoidance.is_on() {
+            if stats.avoidance.is_active() {
                 self.avoided_ids.insert(id.clone());
             } else {
                 self.avoided_ids.remove(id);
@@ -101,7 +102,7 @@
         };
         let may_change = match report {
             CallReport::ServerError | CallReport::Failed => true,
-            CallReport::Answered => stats.avoidance.is_on(),
+            CallReport::Answered => stats.avoidance.is_active(),
             CallReport::Latency(_) | CallReport::Rejected => false,
         };
         if may_change {
@@ -123,7 +124,7 @@
             services.map(|service| (service.to_owned(), 0)).collect();
         for stats in self.stats.values() {
             let number = avoided.entry(stats.server.service.clone()).or_default();
-            *number += usize::from(stats.avoidance.is_on());
+            *number += usize::from(stats.avoidance.is_active());
         }
         avoided
     }
@@ -131,12 +132,12 @@
     /// Records that a request is sent to a server.
     pub fn record_sent(&mut self, id: &str, now: Duration) {
         if let Some(stats) = self.stats_mut(id) {
-            stats.avoidance.note_sent(now);
+            stats.avoidance.record_sent(now);
         }
     }
 
     /// The standing of a server at this gateway.
-    pub(super) fn standing(&self, stats: &ServerStats, now: Duration) -> Standing {
+    pub(super) fn standing(&self, stats: &ServerStats, now: Duration) -> ServerAvailability {
         let turn = ProbeTurn {
             seed: self.seed ^ u64::from(stats.key.0),
             gateways: self.gateways,
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -137,7 +137,12 @@
             }
             Ok(Some(guard))
         }
-        Ok((ReservationDecision::Spent { by_others }, _)) => {
+        Ok((
+            ReservationDecision::Exceeded {
+                used_by_others: by_others,
+            },
+            _,
+        )) => {
             log::info!(event = "budget_spent", request = call.request_id.as_str(), program = claim.program.as_str(), budget, by_others, most; "turn exceeds the token budget of its program");
             Err(Refusal::BudgetSpent)
         }
--- a/crates/courseshed-edge/src/gateway/servers.rs
+++ b/crates/courseshed-edge/src/gateway/servers.rs
@@ -8,7 +8,7 @@
 
 use actix_http::StatusCode;
 use courseshed_registry::{
-    Avoidance, EvacuatedZones, FadingCounts, ListChange, LoadReport, Server, ServerList,
+    Avoidance, DecayingCounts, EvacuatedZones, ListChange, LoadReport, Server, ServerList,
     ServerOutcome, ServerState,
 };
 use courseshed_types::{CachedPrompt, Distance, PromptPart, ServerKey, ZoneMap};
@@ -70,9 +70,9 @@
     consecutive_errors: u32,
     pub backoff_until: Duration,
     /// Outcomes of this gateway's calls.
-    pub own_outcomes: FadingCounts,
+    pub own_outcomes: DecayingCounts,
     /// Outcomes of the other gateways' calls, as last reported.
-    pub other_outcomes: FadingCounts,
+    pub other_outcomes: DecayingCounts,
     pub avoidance: Avoidance,
 }
 
@@ -168,7 +168,7 @@
     pub fn replace(&mut self, servers: &ServerList, now: Duration) {
         for change in self.directory.follow(servers) {
             match change {
-                ListChange::Listed(server) => self.update_cold_until(None, &server, now),
+                ListChange::Added(server) => self.update_cold_until(None, &server, now),
                 ListChange::Changed {
                     before,
                     now: server,
@@ -178,7 +178,7 @@
                         stats.server = server;
                     }
                 }
-                ListChange::Gone(server) => {
+                ListChange::Removed(server) => {
                     self.stats.remove(&server.id);
                     self.cold_until.remove(&server.id);
                     self.avoided_ids.remove(&server.id);
@@ -188,10 +188,12 @@
     }
 
     fn update_cold_until(&mut self, before: Option<&Server>, server: &Server, now: Duration) {
-        if server.cold_ms == 0 {
+        if server.warmup_remaining_ms == 0 {
             self.cold_until.remove(&server.id);
-        } else if before.is_none_or(|before| before.cold_ms != server.cold_ms) {
-            let until = now + Duration::from_millis(u64::from(server.cold_ms));
+        } else if before
+            .is_none_or(|before| before.warmup_remaining_ms != server.warmup_remaining_ms)
+        {
+            let until = now + Duration::from_millis(u64::from(server.warmup_remaining_ms));
             self.cold_until.insert(server.id.clone(), until);
         }
     }
@@ -221,7 +223,7 @@
     /// limit applies to the calls of all gateways together, which no gateway knows, so cold servers
     /// are used only if no warm one is available.
     pub(super) fn is_cold(&self, server: &Server) -> bool {
-        server.cold_ms > 0 && self.serving.cold_limited.contains(&server.service)
+        server.warmup_remaining_ms > 0 && self.serving.cold_limited.contains(&server.service)
     }
 
     /// Whether a server is warm, or its reported cold start should be over.
@@ -315,7 +317,7 @@
         for id in std::mem::take(&mut self.reported_ids) {
             if let Some(stats) = self.stats.get_mut(&id) {
                 stats.other_calls = 0;
-                stats.other_outcomes = FadingCounts::default();
+                stats.other_outcomes = DecayingCounts::default();
             }
         }
         for (key, (in_flight, counts)) in others.by_server() {
@@ -324,7 +326,7 @@
             };
             if let Some(stats) = self.stats_mut(&id) {
                 stats.other_calls = in_flight;
-                stats.other_outcomes = FadingCounts::new(counts, now);
+                stats.other_outcomes = DecayingCounts::new(counts, now);
                 self.reported_ids.push(id);
             }
         }
@@ -372,7 +374,7 @@
             return;
         };
         if shares_outcomes && let Some(outcome) = report.outcome() {
-            stats.own_outcomes.note(outcome, now);
+            stats.own_outcomes.record(outcome, now);
         }
         match report {
             CallReport::Latency(took) => {
@@ -450,8 +452,8 @@
             failures: 0,
             consecutive_errors: 0,
             backoff_until: Duration::ZERO,
-            own_outcomes: FadingCounts::default(),
-            other_outcomes: FadingCounts::default(),
+            own_outcomes: DecayingCounts::default(),
+            other_outcomes: DecayingCounts::default(),
             avoidance: Avoidance::default(),
         }
     }
@@ -461,7 +463,7 @@
         let counted = self.own_outcomes.at(now).plus(&self.other_outcomes.at(now));
         self.calls() == 0
             && self.backoff_until <= now
-            && !self.avoidance.is_on()
+            && !self.avoidance.is_active()
             && counted.answered + counted.failed < NEGLIGIBLE_COUNT
     }
 }
--- a/crates/courseshed-edge/src/metrics.rs
+++ b/crates/courseshed-edge/src/metrics.rs
@@ -7,7 +7,7 @@
 
 use actix_http::Response;
 use actix_http::body::BoxBody;
-use courseshed_records::StoreFigures;
+use courseshed_records::StoreStats;
 use parking_lot::Mutex;
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::encoding::text::encode;
@@ -147,7 +147,7 @@
 struct StoreGauge {
     name: &'static str,
     help: &'static str,
-    read: fn(&StoreFigures) -> u64,
+    read: fn(&StoreStats) -> u64,
 }
 
 const STORE_GAUGES: [StoreGauge; 9] = [
@@ -194,7 +194,7 @@
     StoreGauge {
         name: "record_carried_bytes",
         help: "Bytes written anew to give space back since the start",
-        read: |figures| figures.carried_bytes,
+        read: |figures| figures.compacted_bytes,
     },
 ];
 
@@ -425,7 +425,7 @@
     }
 
     /// Sets the gauges of a store.
-    pub fn set_records(&self, figures: &StoreFigures) {
+    pub fn set_records(&self, figures: &StoreStats) {
         for (figure, gauge) in &self.records {
             gauge.set(i64::try_from((figure.read)(figures)).unwrap_or(i64::MAX));
         }
--- a/crates/courseshed-edge/src/protocol.rs
+++ b/crates/courseshed-edge/src/protocol.rs
@@ -9,7 +9,7 @@
     ChainError, ExportCursor, ExportPage, PartitionId, Record, Reserved, Turn,
 };
 use courseshed_registry::{
-    Command, FleetUpdate, Known, LoadReport, Outcome, RoutingInForce, RoutingProof,
+    ActiveRouting, Command, FleetUpdate, FollowerRevisions, LoadReport, Outcome, RoutingProof,
 };
 use courseshed_transport::{Protocol, TrafficClass};
 use courseshed_types::{CachedPrompt, NodeId};
@@ -97,7 +97,7 @@
     /// Long poll for changes of the fleet's state since `known`.
     Follow {
         /// The state that the follower has.
-        known: Known,
+        known: FollowerRevisions,
         /// How long to hold the request without changes, in milliseconds.
         hold_ms: u64,
         /// Whether the follower is a record store, for which the poll is a heartbeat.
@@ -216,7 +216,7 @@
     /// The command is committed.
     Committed(Outcome),
     /// The routing table in force; none before the first.
-    Routing(Option<RoutingInForce>),
+    Routing(Option<ActiveRouting>),
     /// The version of the routing table in force; none before the first.
     RoutingVersion(Option<u64>),
     /// The controller is a member of the group, or is being admitted.
--- a/crates/courseshed-edge/src/records/client.rs
+++ b/crates/courseshed-edge/src/records/client.rs
@@ -190,7 +190,7 @@
         keep_ms: u64,
         deadline: Instant,
     ) -> Result<(), RecordsUnavailable> {
-        let record = Record::Keep { turn, keep_ms };
+        let record = Record::StoreTurn { turn, keep_ms };
         self.write(partition, record, None, deadline).await
     }
 
@@ -199,7 +199,7 @@
     #[must_use]
     fn home_of(&self, program: &str) -> PartitionId {
         let records = self.follower.view().records;
-        records.home_of(program, |view| self.is_local(view))
+        records.home_partition(program, |view| self.is_local(view))
     }
 
     fn is_local(&self, view: &RecordView) -> bool {
@@ -214,10 +214,10 @@
             return Some(self.home_of(program));
         }
         let records = self.follower.view().records;
-        let near = records.preferred(program, |view| {
+        let near = records.preferred_partition(program, |view| {
             self.is_within(view, homes) && self.is_local(view)
         });
-        near.or_else(|| records.preferred(program, |view| self.is_within(view, homes)))
+        near.or_else(|| records.preferred_partition(program, |view| self.is_within(view, homes)))
     }
 
     /// Whether all replicas of a partition, including joining ones, are in the allowed regions.
--- a/crates/courseshed-edge/src/records/disk.rs
+++ b/crates/courseshed-edge/src/records/disk.rs
@@ -230,11 +230,11 @@
             ),
             Record::Settle { program, .. } => {
                 if let Some(cached) = cached {
-                    self.hints.note(now, &program, cached);
+                    self.hints.record(now, &program, cached);
                 }
                 (Vec::new(), Vec::new())
             }
-            Record::Keep { .. } | Record::Epoch(_) => (Vec::new(), Vec::new()),
+            Record::StoreTurn { .. } | Record::Epoch(_) => (Vec::new(), Vec::new()),
         };
         RecordReply::Written {
             reserved,
@@ -251,12 +251,12 @@
             self.store.expire(now);
             self.hints.expire(now);
             self.log_capacity_change();
-            self.metrics.set_records(&self.store.figures());
+            self.metrics.set_records(&self.store.stats());
         }
         if !is_due && !is_compacting {
             return false;
         }
-        self.store.clean(now).unwrap_or_else(|error| {
+        self.store.compact(now).unwrap_or_else(|error| {
             log::error!(event = "cleaning_failed"; "{error}");
             false
         })
@@ -266,7 +266,7 @@
         let is_full = self.store.is_full();
         if is_full != self.was_full {
             self.was_full = is_full;
-            let figures = self.store.figures();
+            let figures = self.store.stats();
             log::warn!(event = "room_changed", is_full, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes; "the store started or stopped accepting new programs");
         }
     }
@@ -277,7 +277,7 @@
             return;
         }
         self.reported_at = Instant::now();
-        let figures = self.store.figures();
-        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.carried_bytes; "contents of the store");
+        let figures = self.store.stats();
+        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.compacted_bytes; "contents of the store");
     }
 }
--- a/crates/courseshed-edge/src/records/store.rs
+++ b/crates/courseshed-edge/src/records/store.rs
@@ -95,7 +95,7 @@
     let opened = RecordStore::open(&settings.folder, incarnation_if_new, settings.limits, now);
     let store = opened.context(JournalSnafu)?;
     let incarnation = store.incarnation();
-    let figures = store.figures();
+    let figures = store.stats();
     log::info!(event = "store_opened", incarnation, turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, took_ms = started.elapsed().as_millis() as u64; "the store is open");
     let disk = Disk::start(store, settings.metrics).context(ThreadSnafu)?;
     let handler = Arc::new(StorePeers { disk: disk.clone() });
@@ -143,7 +143,7 @@
 ) {
     loop {
         let records = follower.view().records;
-        if records.has_disk(node, store.incarnation) {
+        if records.has_replica_on_disk(node, store.incarnation) {
             sleep(REGISTER_INTERVAL).await;
             continue;
         }
--- a/crates/courseshed-edge/tests/choice.rs
+++ b/crates/courseshed-edge/tests/choice.rs
@@ -21,8 +21,8 @@
     Server {
         id: id.to_owned(),
         name: String::new(),
-        born_ms: None,
-        cold_ms: 0,
+        started_ms: None,
+        warmup_remaining_ms: 0,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         zone: "a".to_owned(),
@@ -108,7 +108,7 @@
     let mut table = table(&["a", "b"]);
     let others = LoadReport {
         gateways: 1,
-        counts_for_ms: 1_000,
+        lifetime_ms: 1_000,
         servers: vec![ServerLoad {
             server: ServerKey::of("a"),
             in_flight: 3,
@@ -192,7 +192,7 @@
 
 fn cold(id: &str) -> Server {
     Server {
-        cold_ms: COLD.as_millis() as u32,
+        warmup_remaining_ms: COLD.as_millis() as u32,
         ..server(id, ServerState::Ready)
     }
 }
--- a/crates/courseshed-edge/tests/cost.rs
+++ b/crates/courseshed-edge/tests/cost.rs
@@ -128,8 +128,8 @@
     Server {
         id: id.to_owned(),
         name: String::new(),
-        born_ms: None,
-        cold_ms: 0,
+        started_ms: None,
+        warmup_remaining_ms: 0,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         zone: zone.to_owned(),
@@ -198,7 +198,7 @@
     assert_eq!(table.share_of_limit(160), 160);
     let others = courseshed_registry::LoadReport {
         gateways: 7,
-        counts_for_ms: 1_000,
+        lifetime_ms: 1_000,
         servers: Vec::new(),
         failures: Vec::new(),
     };
--- a/crates/courseshed-edge/tests/directory.rs
+++ b/crates/courseshed-edge/tests/directory.rs
@@ -49,7 +49,7 @@
     for round in 0..40 {
         let preferred = choose(&table, &PROMPT, round).expect("a server");
         list.apply(ServerChanges {
-            is_whole: false,
+            is_full: false,
             changed: vec![server(5_000 + round as u32).into()],
             removed: vec![preferred.clone()],
             ..ServerChanges::default()
--- a/crates/courseshed-edge/tests/failing_servers.rs
+++ b/crates/courseshed-edge/tests/failing_servers.rs
@@ -7,7 +7,7 @@
 
 use courseshed_edge::gateway::{CallReport, Demand, Mechanism, Policy, ServerTable};
 use courseshed_registry::{
-    AvoidanceChange, LoadBoard, Server, ServerList, ServerState, pause_after_reports,
+    AvoidanceChange, LoadAggregator, Server, ServerList, ServerState, report_interval,
 };
 use courseshed_routing::HomeRegions;
 use courseshed_types::NodeId;
@@ -42,7 +42,7 @@
 struct Play {
     random: ChaCha8Rng,
     gateways: Vec<ServerTable>,
-    boards: Vec<LoadBoard>,
+    boards: Vec<LoadAggregator>,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     serial: u64,
     faults: Faults,
@@ -65,8 +65,8 @@
             .map(|server| Server {
                 id: name(server),
                 name: String::new(),
-                born_ms: None,
-                cold_ms: 0,
+                started_ms: None,
+                warmup_remaining_ms: 0,
                 service: "s".to_owned(),
                 address: ([127, 0, 0, 1], 80).into(),
                 zone: "a".to_owned(),
@@ -84,7 +84,7 @@
         let mut play = Self {
             random: ChaCha8Rng::seed_from_u64(seed),
             gateways: gateways.collect(),
-            boards: vec![LoadBoard::default(); CONTROLLERS],
+            boards: vec![LoadAggregator::default(); CONTROLLERS],
             events: BinaryHeap::new(),
             serial: 0,
             faults,
@@ -197,10 +197,10 @@
         let node = NodeId(gateway as u32);
         let table = &mut self.gateways[gateway];
         let board = &mut self.boards[gateway % CONTROLLERS];
-        let own = table.load_report(now).until_next(EXCHANGE);
-        let others = board.all_but(now, node);
-        let pause = pause_after_reports(2, own.lines() + others.lines(), EXCHANGE);
-        board.note_gateway(now, node, own);
+        let own = table.load_report(now).with_lifetime_for(EXCHANGE);
+        let others = board.sum_excluding(now, node);
+        let pause = report_interval(2, own.entry_count() + others.entry_count(), EXCHANGE);
+        board.record_gateway(now, node, own);
         table.apply_load_report(&others, now);
         table.reevaluate_avoidance(now);
         self.note_changes(gateway, at);
@@ -211,11 +211,11 @@
         let now = Duration::from_millis(at);
         let sum = self.boards[controller].own_gateways(now);
         let others = CONTROLLERS - 1;
-        let pause = pause_after_reports(others, sum.lines() * others, EXCHANGE);
-        let sum = sum.until_next(pause);
+        let pause = report_interval(others, sum.entry_count() * others, EXCHANGE);
+        let sum = sum.with_lifetime_for(pause);
         for other in (0..CONTROLLERS).filter(|other| *other != controller) {
             let node = NodeId(controller as u32);
-            self.boards[other].note_controller(now, node, sum.clone());
+            self.boards[other].record_controller(now, node, sum.clone());
         }
         self.add(at + pause.as_millis() as u64, Event::Relay(controller));
     }
@@ -223,9 +223,9 @@
     fn note_changes(&mut self, gateway: usize, at: u64) {
         for change in self.gateways[gateway].take_changes() {
             match change.change {
-                AvoidanceChange::Begun => self.begun.push((at, change.server)),
+                AvoidanceChange::Started => self.begun.push((at, change.server)),
                 AvoidanceChange::Ended => self.ended.push((at, change.server)),
-                AvoidanceChange::Prolonged => {}
+                AvoidanceChange::Extended => {}
             }
         }
     }
--- a/crates/courseshed-edge/tests/growth.rs
+++ b/crates/courseshed-edge/tests/growth.rs
@@ -27,7 +27,7 @@
     });
     LoadReport {
         gateways: 800,
-        counts_for_ms: 1_000,
+        lifetime_ms: 1_000,
         servers: busy.collect(),
         failures: Vec::new(),
     }
@@ -48,9 +48,9 @@
     }
     table.apply_load_report(&loads(), NOW);
     table.reevaluate_avoidance(NOW);
-    assert!(table.load_report(NOW).lines() > 0);
+    assert!(table.load_report(NOW).entry_count() > 0);
     list.apply(ServerChanges {
-        is_whole: false,
+        is_full: false,
         changed: vec![server(servers + 1).into()],
         removed: vec![server(3).id],
         ..ServerChanges::default()
--- a/crates/courseshed-edge/tests/held_memory.rs
+++ b/crates/courseshed-edge/tests/held_memory.rs
@@ -141,9 +141,9 @@
 
 #[test]
 fn a_small_machine_has_room_for_a_few_large_bodies() {
-    let small = HeldTerms::of_machine(0);
+    let small = HeldTerms::for_machine(0);
     assert_eq!(small.total_bytes, 16 * 1024 * 1024);
-    let usual = HeldTerms::of_machine(88_000_000);
+    let usual = HeldTerms::for_machine(88_000_000);
     assert_eq!(usual.total_bytes, 56_000_000);
     assert_eq!(usual.admission_bytes, 49_000_000);
 }
--- a/crates/courseshed-edge/tests/lagging_controller.rs
+++ b/crates/courseshed-edge/tests/lagging_controller.rs
@@ -33,7 +33,7 @@
     FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest, node_at,
     replica_of,
 };
-use courseshed_registry::{Command, FleetState, Known};
+use courseshed_registry::{Command, FleetState, FollowerRevisions};
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
 use courseshed_types::NodeId;
 use parking_lot::Mutex;
@@ -119,7 +119,7 @@
             return;
         };
         // This leader tells tables whole, as earlier builds do.
-        let known = Known {
+        let known = FollowerRevisions {
             takes_parts: false,
             ..known
         };
--- a/crates/courseshed-edge/tests/policy.rs
+++ b/crates/courseshed-edge/tests/policy.rs
@@ -18,8 +18,8 @@
     Server {
         id: id.to_owned(),
         name: String::new(),
-        born_ms: None,
-        cold_ms: 0,
+        started_ms: None,
+        warmup_remaining_ms: 0,
         service: "s".to_owned(),
         address: ([127, 0, 0, 1], 80).into(),
         zone: zone.to_owned(),
--- a/crates/courseshed-edge/tests/pool_scheduling.rs
+++ b/crates/courseshed-edge/tests/pool_scheduling.rs
@@ -71,7 +71,7 @@
             GRACE,
             Policy::default(),
             None,
-            HeldTerms::of_machine(AMPLE_MEMORY),
+            HeldTerms::for_machine(AMPLE_MEMORY),
         );
         until(async || status(&get(gateway.readiness, "/").await) == 200).await;
         Self {
@@ -94,8 +94,8 @@
     Server {
         id: id.to_owned(),
         name: String::new(),
-        born_ms: None,
-        cold_ms: 0,
+        started_ms: None,
+        warmup_remaining_ms: 0,
         service: "s".to_owned(),
         address: stand_in.address,
         zone: "a".to_owned(),
--- a/crates/courseshed-edge/tests/proof_simulation.rs
+++ b/crates/courseshed-edge/tests/proof_simulation.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use courseshed_edge::gateway::AccessPolicy;
-use courseshed_registry::{Confirmations, ProofKeeper, RoutingProof};
+use courseshed_registry::{Confirmations, LatestProof, RoutingProof};
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use yare::parameterized;
@@ -106,7 +106,7 @@
 
 #[derive(Default)]
 struct Gateway {
-    proofs: ProofKeeper,
+    proofs: LatestProof,
     held: u64,
     asked: Option<Duration>,
     controller: usize,
@@ -233,7 +233,7 @@
         let held = self.controllers[leader].held;
         self.controllers[leader]
             .confirmations
-            .note(local, Some(held));
+            .record(local, Some(held));
         if self.random.random_bool(0.01) {
             self.committed += 1;
             self.controllers[leader].held = self.committed;
@@ -365,7 +365,7 @@
                     Variant::CountsFromAnswer => self.now + node.clock_ahead,
                     _ => asked_at,
                 };
-                node.confirmations.note(at, Some(version));
+                node.confirmations.record(at, Some(version));
             }
             Event::Question {
                 gateway,
@@ -455,7 +455,7 @@
                     _ => asked_at,
                 };
                 if let Some(proof) = proof {
-                    node.proofs.note(from, &proof);
+                    node.proofs.record(from, &proof);
                 }
             }
         }
--- a/crates/courseshed-edge/tests/server_lives.rs
+++ b/crates/courseshed-edge/tests/server_lives.rs
@@ -19,13 +19,13 @@
     ))
 }
 
-fn life(born_ms: u64, sequence: u64, zone: &str, stand_in: &StandIn) -> Registration {
+fn life(started_ms: u64, sequence: u64, zone: &str, stand_in: &StandIn) -> Registration {
     Registration {
         server: Server {
-            id: Server::life_id("one", Some(born_ms)),
+            id: Server::incarnation_id("one", Some(started_ms)),
             name: "one".to_owned(),
-            born_ms: Some(born_ms),
-            cold_ms: 0,
+            started_ms: Some(started_ms),
+            warmup_remaining_ms: 0,
             service: "s".to_owned(),
             address: stand_in.address,
             zone: zone.to_owned(),
--- a/crates/courseshed-edge/tests/slow_readers.rs
+++ b/crates/courseshed-edge/tests/slow_readers.rs
@@ -148,7 +148,7 @@
         total_bytes: TOTAL,
         admission_bytes: TOTAL + MARGIN,
         read_stall: NEVER,
-        ..HeldTerms::of_machine(AMPLE_MEMORY)
+        ..HeldTerms::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_holding(GRACE, memory).await;
     fleet.route_with_slots(vec![stream_route()], SLOTS).await;
@@ -174,7 +174,7 @@
         admission_bytes: ADMITTED,
         read_stall: NEVER,
         pressed_stall: Duration::from_millis(300),
-        ..HeldTerms::of_machine(AMPLE_MEMORY)
+        ..HeldTerms::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_holding(GRACE, memory).await;
     let server = start_sender().await;
@@ -201,7 +201,7 @@
 async fn a_caller_that_reads_nothing_for_too_long_is_cut_off() {
     let memory = HeldTerms {
         read_stall: Duration::from_millis(500),
-        ..HeldTerms::of_machine(AMPLE_MEMORY)
+        ..HeldTerms::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_holding(GRACE, memory).await;
     let server = start_sender().await;
@@ -227,7 +227,7 @@
         total_bytes: TOTAL,
         admission_bytes: TOTAL / 4 * 3,
         read_stall: NEVER,
-        ..HeldTerms::of_machine(AMPLE_MEMORY)
+        ..HeldTerms::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_holding(GRACE, memory).await;
     let server = StandIn::start(|got| Act::Write(answer(got, "served"))).await;
--- a/crates/courseshed-edge/tests/support/large_fleet.rs
+++ b/crates/courseshed-edge/tests/support/large_fleet.rs
@@ -30,13 +30,13 @@
     Server {
         id: format!("i-{number:08x}"),
         name: String::new(),
-        born_ms: None,
+        started_ms: None,
         service: "engines".to_owned(),
         address: SocketAddr::from(([10, 0, high, low], 80)),
         zone: format!("zone-{}", number % 5),
         slots: 6,
         state: ServerState::Ready,
-        cold_ms: 0,
+        warmup_remaining_ms: 0,
     }
 }
 
--- a/crates/courseshed-edge/tests/support/mod.rs
+++ b/crates/courseshed-edge/tests/support/mod.rs
@@ -152,7 +152,7 @@
 
     /// Starts a fleet in which a key is out of use everywhere that long after it was taken away.
     pub async fn start_strict(grace: Duration, revocation: Duration) -> Self {
-        let memory = HeldTerms::of_machine(AMPLE_MEMORY);
+        let memory = HeldTerms::for_machine(AMPLE_MEMORY);
         Self::start_as(
             grace,
             Policy::default(),
@@ -169,7 +169,7 @@
         policy: Policy,
         store_limits: StoreLimits,
     ) -> Self {
-        let memory = HeldTerms::of_machine(AMPLE_MEMORY);
+        let memory = HeldTerms::for_machine(AMPLE_MEMORY);
         Self::start_as(grace, policy, store_limits, None, memory).await
     }
 
@@ -277,8 +277,8 @@
         let server = Server {
             id: id.to_owned(),
             name: String::new(),
-            born_ms: None,
-            cold_ms: 0,
+            started_ms: None,
+            warmup_remaining_ms: 0,
             service: "s".to_owned(),
             address: stand_in.address,
             zone: "a".to_owned(),
@@ -310,7 +310,7 @@
             grace,
             policy,
             None,
-            HeldTerms::of_machine(AMPLE_MEMORY),
+            HeldTerms::for_machine(AMPLE_MEMORY),
         );
         until(async || status(&get(gateway.readiness, "/").await) == 200).await;
         gateway
--- a/crates/courseshed-edge/tests/support/scheduler.rs
+++ b/crates/courseshed-edge/tests/support/scheduler.rs
@@ -8,7 +8,7 @@
     FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest, node_at,
 };
 use courseshed_pool::{CallDemand, CallNote, RunningCall};
-use courseshed_registry::{FleetUpdate, Known, Server, ServerChanges};
+use courseshed_registry::{FleetUpdate, FollowerRevisions, Server, ServerChanges};
 use courseshed_routing::VersionedTable;
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
 use courseshed_types::NodeId;
@@ -75,20 +75,20 @@
 }
 
 impl Answers {
-    fn update(&self, known: Known) -> PeerReply {
+    fn update(&self, known: FollowerRevisions) -> PeerReply {
         let is_new = known.routing.is_none();
         let servers = ServerChanges {
-            is_whole: true,
+            is_full: true,
             changed: self.shown.servers.iter().cloned().map(Arc::new).collect(),
             removed: Vec::new(),
             ..ServerChanges::default()
         };
         PeerReply::Update {
             update: Box::new(FleetUpdate {
-                known: Known {
+                known: FollowerRevisions {
                     routing: Some(self.shown.table.version),
                     servers: 1,
-                    ..Known::default()
+                    ..FollowerRevisions::default()
                 },
                 routing: is_new.then(|| self.shown.table.clone()),
                 servers: is_new.then_some(servers),
--- a/crates/courseshed-lab/src/check/fleet/node.rs
+++ b/crates/courseshed-lab/src/check/fleet/node.rs
@@ -294,7 +294,7 @@
                 leader: *node,
             };
             let leaders: Vec<ShardLeader> = view.nodes.keys().map(leader).collect();
-            dispatcher.ask_announcements(&leaders);
+            dispatcher.request_announcements(&leaders);
             process.dispatcher = Some(dispatcher);
         }
         if let Some(dispatcher) = &mut process.dispatcher {
--- a/crates/courseshed-lab/src/check/simulations.rs
+++ b/crates/courseshed-lab/src/check/simulations.rs
@@ -9,7 +9,7 @@
 };
 
 use courseshed_consensus::simulation::{self as log, SimulationOptions, Variant};
-use courseshed_records::simulation::{self as records, RecordPromise, RecordVariant};
+use courseshed_records::simulation::{self as records, RecordInvariant, RecordVariant};
 use serde::Serialize;
 
 use super::fleet::{self, FleetOptions, FleetPromise, FleetVariant};
@@ -53,7 +53,7 @@
         match self {
             Simulation::Log => log::Promise::ALL.map(log::Promise::name).to_vec(),
             Simulation::Fleet => FleetPromise::ALL.map(FleetPromise::name).to_vec(),
-            Simulation::Records => RecordPromise::ALL.map(RecordPromise::name).to_vec(),
+            Simulation::Records => RecordInvariant::ALL.map(RecordInvariant::name).to_vec(),
         }
     }
 
@@ -311,7 +311,7 @@
 
 fn run_records(seed: u64) -> SeedResult {
     let report = records::run_seed(seed, RecordVariant::Sound);
-    let violation = |(promise, detail): &(RecordPromise, String)| SeedViolation {
+    let violation = |(promise, detail): &(RecordInvariant, String)| SeedViolation {
         promise: promise.name(),
         detail: detail.clone(),
         replay: replay(Simulation::Records, seed),
--- a/crates/courseshed-node/src/dispatchers/table.rs
+++ b/crates/courseshed-node/src/dispatchers/table.rs
@@ -94,7 +94,7 @@
         for slot in self.all() {
             let leaders = replicas_of(&map, slot.pool());
             slot.step(context, |dispatcher, _| {
-                dispatcher.ask_announcements(&leaders)
+                dispatcher.request_announcements(&leaders)
             });
         }
     }
@@ -113,7 +113,7 @@
         };
         let kind = PolicyKind::Courseshed;
         let mut dispatcher = Dispatcher::new(pool.clone(), identity, config, kind, now);
-        dispatcher.ask_announcements(&replicas_of(map, &pool));
+        dispatcher.request_announcements(&replicas_of(map, &pool));
         let slot = Arc::new(DispatcherSlot::new(dispatcher));
         self.slots.write().insert(pool, slot.clone());
         slot
--- a/crates/courseshed-node/tests/dispatchers.rs
+++ b/crates/courseshed-node/tests/dispatchers.rs
@@ -83,13 +83,13 @@
     wait_until(async || {
         let slots = node.context().dispatchers.all();
         let now = node.context().clock.now();
-        let takes_work = |name: &str| {
+        let accepts_calls = |name: &str| {
             let slot = slots.first()?;
             let stats = slot.read(|dispatcher| dispatcher.stats(now));
             let engine = stats.engines.get(&EngineId::from(name))?;
-            Some(engine.takes_work)
+            Some(engine.accepts_calls)
         };
-        takes_work("e1") == Some(false) && takes_work("e2") == Some(true)
+        accepts_calls("e1") == Some(false) && accepts_calls("e2") == Some(true)
     })
     .await;
     let program = caller.program("guild/quotes").await;
@@ -198,7 +198,7 @@
         let context = fleet.node(owner).context();
         let now = context.clock.now();
         let stats = context.dispatchers.all()[0].read(|dispatcher| dispatcher.stats(now));
-        stats.engines.values().all(|engine| !engine.takes_work)
+        stats.engines.values().all(|engine| !engine.accepts_calls)
     })
     .await;
     let gateway = owner % 3 + 1;
--- a/crates/courseshed-records/src/lib.rs
+++ b/crates/courseshed-records/src/lib.rs
@@ -30,7 +30,7 @@
     PARTITION_COUNT, PartitionId, PartitionMap, PartitionRecord, PartitionTables, ViewChange,
 };
 pub use plan::{
-    CaughtUp, HomeRegion, MapPlan, Spread, StoreMachine, ViewPlan, plan_map, plan_view,
+    CaughtUp, HomeRegion, MapPlan, PlacementPolicy, StoreMachine, ViewPlan, plan_map, plan_view,
 };
 pub use prompt_hints::PromptHints;
 pub use record::{ExportCursor, ExportPage, Record, Reserved, Turn};
@@ -38,6 +38,6 @@
     ChainError, EntryKey, EntryPage, Location, RecordReplica, SegmentNumber, StoredEntry,
 };
 pub use segments::JournalError;
-pub use store::{ReadError, RecordStore, StoreFigures, StoreLimits};
+pub use store::{ReadError, RecordStore, StoreLimits, StoreStats};
 pub use tally::{MissTally, ReservationDecision, ReservationTally, WriteTally};
 pub use view::{RecordMember, RecordView};
--- a/crates/courseshed-records/src/partition.rs
+++ b/crates/courseshed-records/src/partition.rs
@@ -82,16 +82,20 @@
     /// that are; the default one if none is. Rendezvous hashing limits how many programs move when
     /// a view changes.
     #[must_use]
-    pub fn home_of(&self, program: &str, is_near: impl Fn(&RecordView) -> bool) -> PartitionId {
+    pub fn home_partition(
+        &self,
+        program: &str,
+        is_near: impl Fn(&RecordView) -> bool,
+    ) -> PartitionId {
         let default_partition = PartitionId::of_program(program);
-        self.preferred(program, is_near)
+        self.preferred_partition(program, is_near)
             .unwrap_or(default_partition)
     }
 
     /// The program's default partition if eligible, else the eligible one that it prefers by
     /// rendezvous hashing.
     #[must_use]
-    pub fn preferred(
+    pub fn preferred_partition(
         &self,
         program: &str,
         is_eligible: impl Fn(&RecordView) -> bool,
@@ -115,8 +119,8 @@
 
     /// Whether every partition has replicas and all of them are active.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
-        self.views().all(|(_, view)| view.is_whole())
+    pub fn is_fully_active(&self) -> bool {
+        self.views().all(|(_, view)| view.is_fully_active())
     }
 
     /// Whether a node is a replica of any partition.
@@ -127,7 +131,7 @@
 
     /// Whether this incarnation of a node's disk is a replica of any partition.
     #[must_use]
-    pub fn has_disk(&self, node: NodeId, incarnation: u64) -> bool {
+    pub fn has_replica_on_disk(&self, node: NodeId, incarnation: u64) -> bool {
         let is_same_disk = |member: &RecordMember| member.incarnation == incarnation;
         self.views()
             .any(|(_, view)| view.member(node).is_some_and(is_same_disk))
@@ -171,7 +175,7 @@
     }
 
     /// Merges a view received from another node. Returns false if it is not newer.
-    pub fn learn(&mut self, change: ViewChange) -> bool {
+    pub fn merge(&mut self, change: ViewChange) -> bool {
         if change.view.epoch <= self.view(change.partition).epoch {
             return false;
         }
--- a/crates/courseshed-records/src/plan.rs
+++ b/crates/courseshed-records/src/plan.rs
@@ -30,7 +30,7 @@
     /// Nodes that are being decommissioned.
     pub retiring: &'a BTreeSet<NodeId>,
     /// Target number of replicas: 2f + 1 to tolerate f lost disks.
-    pub wanted: usize,
+    pub replication_factor: usize,
     /// Partitions hosted by each node, to prefer the least loaded one.
     pub replicas: &'a BTreeMap<NodeId, usize>,
     /// Region to place replicas in as far as it has stores; `None` for no preference.
@@ -54,34 +54,35 @@
 /// shares. Each partition therefore has a home region, and uses others only for replicas that the
 /// home region has no stores for.
 #[derive(Clone, Copy, Debug)]
-pub struct Spread<'a> {
+pub struct PlacementPolicy<'a> {
     /// Map of zones to regions.
     pub zones: &'a ZoneMap,
     /// Number of simultaneous zone failures to tolerate.
-    pub zones_borne: usize,
+    pub tolerated_zone_failures: usize,
     /// Number of simultaneous region failures to tolerate.
-    pub regions_borne: usize,
+    pub tolerated_region_failures: usize,
     /// Whether replicas must not leave the home region of their partition, for data residency.
     /// A partition then runs with fewer replicas if the region lacks stores.
-    pub must_stay_home: bool,
+    pub pin_to_home_region: bool,
 }
 
-impl<'a> Spread<'a> {
+impl<'a> PlacementPolicy<'a> {
     /// The home region of a partition, assigned round-robin. `None` if replicas in a single region
     /// could lose their majority to the failures that must be tolerated.
     #[must_use]
     pub fn home(&self, partition: PartitionId) -> Option<HomeRegion<'a>> {
         let regions: Vec<&str> = self.zones.regions().into_iter().collect();
-        if self.regions_borne > 0 || regions.len() < 2 {
+        if self.tolerated_region_failures > 0 || regions.len() < 2 {
             return None;
         }
         let region = regions[usize::from(partition.0) % regions.len()];
         let zones = self.zones.zones_of(region).count();
-        let is_enough = self.zones_borne == 0 || zones > 2 * self.zones_borne;
+        let is_enough =
+            self.tolerated_zone_failures == 0 || zones > 2 * self.tolerated_zone_failures;
         is_enough.then_some(HomeRegion {
             region,
             zones: self.zones,
-            is_required: self.must_stay_home,
+            is_required: self.pin_to_home_region,
         })
     }
 }
@@ -98,12 +99,12 @@
     /// Nodes that are being decommissioned.
     pub retiring: &'a BTreeSet<NodeId>,
     /// Target number of replicas of each partition.
-    pub wanted: usize,
+    pub replication_factor: usize,
     /// Whether to place the first replicas of a partition. Enabled once the stores that start
     /// together have registered, so that partitions are spread over all of them.
-    pub may_found: bool,
+    pub allow_initial_placement: bool,
     /// How replicas are placed across zones and regions.
-    pub spread: Spread<'a>,
+    pub spread: PlacementPolicy<'a>,
 }
 
 /// Plans at most one view change per partition. `caught_up` lists the joining replicas that are
@@ -113,7 +114,7 @@
     let mut replicas = plan.map.replica_counts_by_node();
     let mut changes = Vec::new();
     for (partition, view) in plan.map.views() {
-        if view.members.is_empty() && !plan.may_found {
+        if view.members.is_empty() && !plan.allow_initial_placement {
             continue;
         }
         let joined = caught_up
@@ -126,7 +127,7 @@
                 stores: plan.stores,
                 silent: plan.silent,
                 retiring: plan.retiring,
-                wanted: plan.wanted,
+                replication_factor: plan.replication_factor,
                 replicas: &replicas,
                 home: plan.spread.home(partition),
             })
@@ -174,7 +175,7 @@
             return None;
         }
         let mut next = self.view.next_epoch();
-        while next.members.len() < self.wanted
+        while next.members.len() < self.replication_factor
             && let Some(node) = self.best_candidate(&next)
         {
             let mut member = self.joining_member(node)?;
@@ -234,7 +235,7 @@
             .iter()
             .position(|member| self.retiring.contains(&member.node))?;
         let mut next = self.view.next_epoch();
-        if self.view.members.len() > self.wanted {
+        if self.view.members.len() > self.replication_factor {
             next.members.remove(position);
         } else {
             next.members
@@ -245,7 +246,7 @@
 
     /// Adds a member if there are fewer than wanted.
     fn add_missing_member(&self) -> Option<RecordView> {
-        if self.view.members.len() >= self.wanted || !self.all_active() {
+        if self.view.members.len() >= self.replication_factor || !self.all_active() {
             return None;
         }
         let mut next = self.view.next_epoch();
--- a/crates/courseshed-records/src/prompt_hints.rs
+++ b/crates/courseshed-records/src/prompt_hints.rs
@@ -28,7 +28,7 @@
 
 impl PromptHints {
     /// Records what a server has cached after it answered a call of a program.
-    pub fn note(&mut self, now_ms: u64, program: &str, cached: CachedPrompt) {
+    pub fn record(&mut self, now_ms: u64, program: &str, cached: CachedPrompt) {
         let Some(conversation) = cached.parts.last().map(|part| part.id) else {
             return;
         };
--- a/crates/courseshed-records/src/record.rs
+++ b/crates/courseshed-records/src/record.rs
@@ -52,7 +52,8 @@
         keep_ms: u64,
     },
     /// A turn was completed.
-    Keep {
+    #[serde(rename = "Keep")]
+    StoreTurn {
         /// The turn.
         turn: Turn,
         /// How long to retain the turn and its ancestors, in milliseconds from now.
@@ -94,7 +95,7 @@
                 tokens: *tokens,
                 keep_ms: *keep_ms,
             }),
-            Self::Keep { .. } | Self::Epoch(_) => None,
+            Self::StoreTurn { .. } | Self::Epoch(_) => None,
         }
     }
 }
--- a/crates/courseshed-records/src/replica.rs
+++ b/crates/courseshed-records/src/replica.rs
@@ -162,7 +162,7 @@
             program.apply(&update, at_ms, location.segment);
         }
         match record {
-            Record::Keep { turn, keep_ms } => {
+            Record::StoreTurn { turn, keep_ms } => {
                 self.store_turn(&turn.id, turn.previous.clone(), location, at_ms + keep_ms);
             }
             Record::Epoch(epoch) => self.epoch = self.epoch.max(*epoch),
@@ -178,7 +178,7 @@
             return program.is_some_and(|program| program.covers(&update, at_ms));
         }
         match record {
-            Record::Keep { turn, keep_ms } => {
+            Record::StoreTurn { turn, keep_ms } => {
                 let stored = self.turns.get(&turn.id);
                 stored.is_some_and(|stored| lasts_until(stored.expires_ms, at_ms + keep_ms))
             }
--- a/crates/courseshed-records/src/segments.rs
+++ b/crates/courseshed-records/src/segments.rs
@@ -220,7 +220,7 @@
         let timestamped =
             payload.and_then(|payload| frame::decode::<TimestampedRecord>(payload).ok());
         match timestamped.map(|timestamped| timestamped.entry.record) {
-            Some(Record::Keep { turn, .. }) => Ok(turn),
+            Some(Record::StoreTurn { turn, .. }) => Ok(turn),
             _ => {
                 let corrupt = Err(io::Error::from(io::ErrorKind::InvalidData));
                 with_path(corrupt, "decode a turn in", &path)
--- a/crates/courseshed-records/src/simulation.rs
+++ b/crates/courseshed-records/src/simulation.rs
@@ -27,7 +27,7 @@
 
 /// Invariants checked by the simulation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RecordPromise {
+pub enum RecordInvariant {
     /// A stored turn is never reported as unknown.
     DurableTurn,
     /// The tokens granted to a program never exceed its budget.
@@ -36,7 +36,7 @@
     FullRecovery,
 }
 
-impl RecordPromise {
+impl RecordInvariant {
     /// All invariants.
     pub const ALL: [Self; 3] = [Self::DurableTurn, Self::Budget, Self::FullRecovery];
 
@@ -106,7 +106,7 @@
     /// Times that a node became unreachable.
     pub cut_off: u64,
     /// Violated invariants with details.
-    pub violations: Vec<(RecordPromise, String)>,
+    pub violations: Vec<(RecordInvariant, String)>,
 }
 
 struct Store {
@@ -199,7 +199,7 @@
         StoredEntry::Reservation(record) => (record, Location::default()),
         StoredEntry::Turn { location, keep_ms } => {
             let turn = turn(location.offset);
-            (Record::Keep { turn, keep_ms }, location)
+            (Record::StoreTurn { turn, keep_ms }, location)
         }
     }
 }
@@ -282,7 +282,7 @@
             1 => {
                 let turn = turn(id);
                 let id = turn.id.clone();
-                let record = Record::Keep {
+                let record = Record::StoreTurn {
                     turn,
                     keep_ms: KEEP_MS,
                 };
@@ -370,7 +370,7 @@
                         self.grant(id);
                         true
                     }
-                    Some(ReservationDecision::Spent { .. }) => {
+                    Some(ReservationDecision::Exceeded { .. }) => {
                         self.report.spent += 1;
                         true
                     }
@@ -402,7 +402,7 @@
                     );
                     self.report
                         .violations
-                        .push((RecordPromise::DurableTurn, detail));
+                        .push((RecordInvariant::DurableTurn, detail));
                 }
                 is_unknown
             }
@@ -415,7 +415,9 @@
         let sum: u64 = self.granted.values().sum();
         if sum > BUDGET {
             let detail = format!("granted {sum} tokens of a budget of {BUDGET}");
-            self.report.violations.push((RecordPromise::Budget, detail));
+            self.report
+                .violations
+                .push((RecordInvariant::Budget, detail));
         }
     }
 
@@ -437,7 +439,7 @@
             stores: &self.machines,
             silent: &silent,
             retiring: &BTreeSet::new(),
-            wanted: 2 * self.max_lost_disks + 1,
+            replication_factor: 2 * self.max_lost_disks + 1,
             replicas: &BTreeMap::new(),
             home: None,
         };
@@ -602,7 +604,7 @@
             let detail = format!("not all members are active: {:?}", self.view);
             self.report
                 .violations
-                .push((RecordPromise::FullRecovery, detail));
+                .push((RecordInvariant::FullRecovery, detail));
         }
     }
 
--- a/crates/courseshed-records/src/store.rs
+++ b/crates/courseshed-records/src/store.rs
@@ -56,7 +56,7 @@
 impl StoreLimits {
     /// Limits for a machine, with a segment size that suits its disk.
     #[must_use]
-    pub fn of_machine(memory_bytes: u64, disk_bytes: Option<u64>) -> Self {
+    pub fn for_machine(memory_bytes: u64, disk_bytes: Option<u64>) -> Self {
         Self {
             memory_bytes,
             disk_bytes,
@@ -84,7 +84,7 @@
 
 /// Contents and resource usage of a store.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StoreFigures {
+pub struct StoreStats {
     /// Stored turns.
     pub turns: u64,
     /// Stored reservations.
@@ -106,7 +106,7 @@
     /// Turns read from files since start.
     pub cache_misses: u64,
     /// Bytes copied by compaction since start.
-    pub carried_bytes: u64,
+    pub compacted_bytes: u64,
 }
 
 /// A compaction in progress.
@@ -128,7 +128,7 @@
     live_bytes_by_segment: BTreeMap<SegmentNumber, u64>,
     /// Segments whose compaction failed because a record is unreadable.
     unreadable_segments: Vec<SegmentNumber>,
-    figures: StoreFigures,
+    stats: StoreStats,
 }
 
 impl RecordStore {
@@ -158,7 +158,7 @@
             compaction: None,
             live_bytes_by_segment: BTreeMap::new(),
             unreadable_segments: Vec::new(),
-            figures: StoreFigures::default(),
+            stats: StoreStats::default(),
         };
         store.expire(now_ms);
         Ok(store)
@@ -184,12 +184,12 @@
 
     /// Contents and resource usage of the store.
     #[must_use]
-    pub fn figures(&self) -> StoreFigures {
-        StoreFigures {
+    pub fn stats(&self) -> StoreStats {
+        StoreStats {
             segments: self.segments.count() as u64,
             file_bytes: self.segments.bytes(),
             cache_bytes: self.cache.bytes() as u64,
-            ..self.figures
+            ..self.stats
         }
     }
 
@@ -198,7 +198,7 @@
     pub fn is_full(&self) -> bool {
         let is_disk_full = self.is_disk_usage_above(FULL_USAGE_PERCENT);
         let max_index_bytes = self.limits.memory_bytes / INDEX_MEMORY_DIVISOR;
-        is_disk_full || self.figures.index_bytes > max_index_bytes
+        is_disk_full || self.stats.index_bytes > max_index_bytes
     }
 
     /// Appends and syncs records, except those that would change nothing.
@@ -223,7 +223,7 @@
         let locations = self.append(now_ms, &new_records)?;
         for (entry, location) in new_records.into_iter().zip(locations) {
             self.tables.apply(now_ms, &entry, location);
-            if let Record::Keep { turn, .. } = entry.record {
+            if let Record::StoreTurn { turn, .. } = entry.record {
                 self.cache.insert(location, turn);
             }
         }
@@ -283,12 +283,12 @@
     pub fn expire(&mut self, now_ms: u64) {
         self.tables.expire(now_ms);
         self.live_bytes_by_segment.clear();
-        let mut figures = StoreFigures {
+        let mut figures = StoreStats {
             turns: 0,
             reservations: 0,
             partitions: 0,
             live_bytes: 0,
-            ..self.figures
+            ..self.stats
         };
         for (_, replica) in self.tables.replicas() {
             replica.for_each_live_record(|segment, bytes| {
@@ -301,14 +301,14 @@
         }
         figures.index_bytes = figures.turns * INDEX_BYTES_PER_TURN
             + figures.reservations * INDEX_BYTES_PER_RESERVATION;
-        self.figures = figures;
+        self.stats = figures;
     }
 
     /// Runs one compaction step. Returns false if there is nothing to compact.
     ///
     /// # Errors
     /// [`JournalError`] if a file cannot be read, written or deleted. No records are lost.
-    pub fn clean(&mut self, now_ms: u64) -> Result<bool, JournalError> {
+    pub fn compact(&mut self, now_ms: u64) -> Result<bool, JournalError> {
         let Some(compaction) = self.compaction.take().or_else(|| self.plan_compaction()) else {
             return Ok(false);
         };
@@ -350,7 +350,7 @@
         let locations = self.append(now_ms, &records)?;
         for ((partition, key), location) in keys.into_iter().zip(&locations) {
             self.tables.replica_mut(partition).relocate(&key, *location);
-            self.figures.carried_bytes += u64::from(location.length);
+            self.stats.compacted_bytes += u64::from(location.length);
         }
         if !compaction.remaining.is_empty() {
             return Ok(Some(compaction));
@@ -430,10 +430,10 @@
 
     fn read_turn(&mut self, location: Location) -> Result<Turn, JournalError> {
         if let Some(turn) = self.cache.get(location) {
-            self.figures.cache_hits += 1;
+            self.stats.cache_hits += 1;
             return Ok(turn);
         }
-        self.figures.cache_misses += 1;
+        self.stats.cache_misses += 1;
         let turn = self.segments.read_turn(location)?;
         self.cache.insert(location, turn.clone());
         Ok(turn)
@@ -444,7 +444,7 @@
             StoredEntry::Reservation(record) => Ok(record),
             StoredEntry::Turn { location, keep_ms } => {
                 let turn = self.segments.read_turn(location)?;
-                Ok(Record::Keep { turn, keep_ms })
+                Ok(Record::StoreTurn { turn, keep_ms })
             }
         }
     }
--- a/crates/courseshed-records/src/tally.rs
+++ b/crates/courseshed-records/src/tally.rs
@@ -49,9 +49,9 @@
         is_first: bool,
     },
     /// The tokens exceed the remaining budget. The reservation must be rolled back.
-    Spent {
+    Exceeded {
         /// Tokens reserved or used by other reservations.
-        by_others: u64,
+        used_by_others: u64,
     },
 }
 
@@ -102,13 +102,13 @@
             .tokens_by_reservation
             .iter()
             .filter(|(id, _)| **id != self.reservation);
-        let by_others: u64 = others.map(|(_, tokens)| u64::from(*tokens)).sum();
-        if by_others + self.max_tokens <= self.budget {
+        let used_by_others: u64 = others.map(|(_, tokens)| u64::from(*tokens)).sum();
+        if used_by_others + self.max_tokens <= self.budget {
             return ReservationDecision::Granted {
-                is_first: by_others == 0,
+                is_first: used_by_others == 0,
             };
         }
-        ReservationDecision::Spent { by_others }
+        ReservationDecision::Exceeded { used_by_others }
     }
 }
 
--- a/crates/courseshed-records/src/view.rs
+++ b/crates/courseshed-records/src/view.rs
@@ -60,7 +60,7 @@
 
     /// Whether the view has members and all of them are active.
     #[must_use]
-    pub fn is_whole(&self) -> bool {
+    pub fn is_fully_active(&self) -> bool {
         !self.members.is_empty() && self.members.iter().all(|member| member.active)
     }
 
--- a/crates/courseshed-records/tests/partitions.rs
+++ b/crates/courseshed-records/tests/partitions.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use courseshed_records::{
-    CaughtUp, MapPlan, PARTITION_COUNT, PartitionId, PartitionMap, PartitionRecord, Record, Spread,
-    StoreMachine, ViewChange, plan_map,
+    CaughtUp, MapPlan, PARTITION_COUNT, PartitionId, PartitionMap, PartitionRecord,
+    PlacementPolicy, Record, StoreMachine, ViewChange, plan_map,
 };
 use courseshed_types::{NodeId, ZoneMap};
 use support::{AMPLE, compact_all, open, segment_files, turn_of_size};
@@ -31,9 +31,9 @@
     silent: BTreeSet<NodeId>,
     retiring: BTreeSet<NodeId>,
     zones: ZoneMap,
-    regions_borne: usize,
-    zones_borne: usize,
-    must_stay_home: bool,
+    tolerated_region_failures: usize,
+    tolerated_zone_failures: usize,
+    pin_to_home_region: bool,
 }
 
 impl Fleet {
@@ -44,25 +44,25 @@
             silent: BTreeSet::new(),
             retiring: BTreeSet::new(),
             zones: ZoneMap::default(),
-            regions_borne: 0,
-            zones_borne: 0,
-            must_stay_home: false,
+            tolerated_region_failures: 0,
+            tolerated_zone_failures: 0,
+            pin_to_home_region: false,
         }
     }
 
-    fn plan(&self, may_found: bool, caught_up: &[CaughtUp]) -> Vec<ViewChange> {
+    fn plan(&self, allow_initial_placement: bool, caught_up: &[CaughtUp]) -> Vec<ViewChange> {
         let plan = MapPlan {
             map: &self.map,
             stores: &self.stores,
             silent: &self.silent,
             retiring: &self.retiring,
-            wanted: WANTED,
-            may_found,
-            spread: Spread {
+            replication_factor: WANTED,
+            allow_initial_placement,
+            spread: PlacementPolicy {
                 zones: &self.zones,
-                zones_borne: self.zones_borne,
-                regions_borne: self.regions_borne,
-                must_stay_home: self.must_stay_home,
+                tolerated_zone_failures: self.tolerated_zone_failures,
+                tolerated_region_failures: self.tolerated_region_failures,
+                pin_to_home_region: self.pin_to_home_region,
             },
         };
         plan_map(&plan, caught_up)
@@ -110,7 +110,7 @@
         "more stores may register"
     );
     assert_eq!(fleet.advance(&[]), usize::from(PARTITION_COUNT));
-    assert!(fleet.map.is_whole());
+    assert!(fleet.map.is_fully_active());
     for (_, view) in fleet.map.views() {
         let zones: BTreeSet<&str> = view
             .members
@@ -201,7 +201,7 @@
 fn replicas_are_spread_to_tolerate_region_failure() {
     let mut fleet = Fleet::new(12, 6);
     assign_two_regions(&mut fleet);
-    fleet.regions_borne = 1;
+    fleet.tolerated_region_failures = 1;
     fleet.settle();
     assert!(
         max_replicas_per_region(&fleet)
@@ -215,7 +215,7 @@
 fn region_is_not_home_if_one_of_its_zones_could_hold_a_majority() {
     let mut fleet = Fleet::new(16, 4);
     assign_two_regions(&mut fleet);
-    fleet.zones_borne = 1;
+    fleet.tolerated_zone_failures = 1;
     fleet.settle();
     assert!(
         max_replicas_per_region(&fleet)
@@ -229,7 +229,7 @@
 fn pinned_replicas_never_leave_home_region() {
     let mut fleet = Fleet::new(8, 6);
     assign_two_regions(&mut fleet);
-    fleet.must_stay_home = true;
+    fleet.pin_to_home_region = true;
     fleet.settle();
     let check = |fleet: &Fleet, replicas: usize| {
         for (partition, view) in fleet.map.views() {
@@ -264,7 +264,7 @@
     };
     let home = |program: u32, without: Option<PartitionId>| {
         let unwanted = without.map(|partition| fleet.map.view(partition));
-        fleet.map.home_of(&format!("p{program}"), |view| {
+        fleet.map.home_partition(&format!("p{program}"), |view| {
             unwanted.is_none_or(|unwanted| !std::ptr::eq(view, unwanted))
                 && view.members.iter().filter(|member| is_east(member)).count() == 4
         })
@@ -309,7 +309,7 @@
         "no store takes over two of them"
     );
     fleet.settle();
-    assert!(fleet.map.is_whole());
+    assert!(fleet.map.is_fully_active());
     assert!(!fleet.map.views().any(|(_, view)| view.needs(lost)));
 }
 
@@ -320,7 +320,7 @@
     let node = NodeId(2);
     let replica_count = fleet.map.replica_counts_by_node()[&node];
     fleet.stores.get_mut(&node).expect("known").incarnation = 99;
-    assert!(!fleet.map.has_disk(node, 99));
+    assert!(!fleet.map.has_replica_on_disk(node, 99));
     assert_eq!(fleet.advance(&[]), replica_count);
     let joining = fleet.all_caught_up();
     assert_eq!(joining.len(), replica_count);
@@ -353,7 +353,7 @@
     fleet.settle();
     let mut follower = PartitionMap::default();
     for change in fleet.map.changes_since(0) {
-        assert!(follower.learn(change));
+        assert!(follower.merge(change));
     }
     let known = fleet.map.revision();
     fleet.silent.insert(NodeId(1));
@@ -365,9 +365,9 @@
         view: follower.view(updates[0].partition).clone(),
     };
     for change in updates {
-        assert!(follower.learn(change));
+        assert!(follower.merge(change));
     }
-    assert!(!follower.learn(old));
+    assert!(!follower.merge(old));
     for (partition, view) in fleet.map.views() {
         assert_eq!(follower.view(partition), view);
     }
--- a/crates/courseshed-records/tests/steady_state.rs
+++ b/crates/courseshed-records/tests/steady_state.rs
@@ -10,7 +10,7 @@
 
 /// Limits of a small machine.
 fn limits() -> StoreLimits {
-    StoreLimits::of_machine(130 * MIB, Some(370 * MIB))
+    StoreLimits::for_machine(130 * MIB, Some(370 * MIB))
 }
 
 const RETENTION_S: u64 = 75;
@@ -73,7 +73,7 @@
         .write(now_ms, records_of_second(second))
         .expect("written");
     store.expire(now_ms);
-    while store.clean(now_ms).expect("compacted") {}
+    while store.compact(now_ms).expect("compacted") {}
     if second >= TURNS_PER_PROGRAM {
         let program = format!("program-{}-0", second + 1 - TURNS_PER_PROGRAM);
         let last = format!("{program}-turn-{}", TURNS_PER_PROGRAM - 1);
@@ -92,7 +92,7 @@
             run_second(&mut store, second);
         }
         memory.push(resident_memory());
-        let figures = store.figures();
+        let figures = store.stats();
         assert!(
             figures.file_bytes <= figures.live_bytes * MAX_FILE_TO_LIVE_RATIO,
             "{figures:?}"
@@ -101,7 +101,7 @@
         let now_ms = (retention + 1) * RETENTION_S * 1000 - 1000;
         drop(store);
         store = open(dir.path(), limits(), now_ms);
-        let restored = store.figures();
+        let restored = store.stats();
         assert_eq!(restored.turns, figures.turns);
         assert_eq!(restored.reservations, figures.reservations);
         assert_eq!(restored.live_bytes, figures.live_bytes);
--- a/crates/courseshed-records/tests/store.rs
+++ b/crates/courseshed-records/tests/store.rs
@@ -30,7 +30,7 @@
 }
 
 fn turn(id: &str, previous: Option<&str>) -> Record {
-    Record::Keep {
+    Record::StoreTurn {
         turn: Turn {
             id: id.to_owned(),
             previous: previous.map(str::to_owned),
@@ -79,7 +79,7 @@
     for (actual, expected) in chain.into_iter().zip(expected) {
         let keep_ms = LONG_MS;
         assert_eq!(
-            Record::Keep {
+            Record::StoreTurn {
                 turn: actual,
                 keep_ms
             },
@@ -165,7 +165,7 @@
     let moved_dir = parent_dir.path().join("away");
     fs::rename(dir.path(), &moved_dir).expect("moved");
     for _ in 0..3 {
-        assert!(store.clean(200).is_err());
+        assert!(store.compact(200).is_err());
     }
     fs::rename(&moved_dir, dir.path()).expect("moved back");
     compact_all(&mut store, 200);
@@ -180,7 +180,7 @@
         let dir = TempDir::new().expect("temp dir");
         let mut store = store_with_expired_turns(&dir);
         for _ in 0..steps {
-            store.clean(200).expect("compacted");
+            store.compact(200).expect("compacted");
         }
         drop(store);
         let mut store = open(dir.path(), AMPLE, 200);
@@ -390,7 +390,7 @@
 fn turn_is_retained_as_long_as_its_descendants() {
     let mut replica = RecordReplica::default();
     let short = |id: &str, previous: Option<&str>, keep_ms| match turn(id, previous) {
-        Record::Keep { turn, .. } => Record::Keep { turn, keep_ms },
+        Record::StoreTurn { turn, .. } => Record::StoreTurn { turn, keep_ms },
         other => other,
     };
     replica.apply(0, &short("a", None, 100), Location::default());
--- a/crates/courseshed-records/tests/store_model.rs
+++ b/crates/courseshed-records/tests/store_model.rs
@@ -76,7 +76,7 @@
                 let counted = program.reservations.entry(*reservation).or_insert(*tokens);
                 *counted = (*counted).min(*tokens);
             }
-            Record::Keep { turn, keep_ms } => self.keep(partition, turn, now_ms + keep_ms),
+            Record::StoreTurn { turn, keep_ms } => self.keep(partition, turn, now_ms + keep_ms),
             Record::Epoch(epoch) => {
                 let known = self.epochs.entry(partition).or_default();
                 *known = (*known).max(*epoch);
@@ -201,7 +201,7 @@
             0..3 => self.reserve(keep_ms),
             3..5 => self.settle_or_repeat(partition, keep_ms),
             5 => Record::Epoch(self.rng.random_range(0..50)),
-            _ => Record::Keep {
+            _ => Record::StoreTurn {
                 turn: self.turn(partition),
                 keep_ms,
             },
@@ -290,7 +290,7 @@
 
     fn compact(&mut self) {
         let now_ms = self.now_ms;
-        self.store().clean(now_ms).expect("compacted");
+        self.store().compact(now_ms).expect("compacted");
     }
 
     /// Restarts the store on the same files.
@@ -350,7 +350,7 @@
         // After all retention periods only the epochs are left.
         harness.now_ms += 60_000;
         harness.expire();
-        while harness.store().clean(60_000_000).expect("compacted") {}
+        while harness.store().compact(60_000_000).expect("compacted") {}
         let left = file_bytes(harness.dir.path());
         assert!(
             left <= 2 * LIMITS.segment_bytes,
--- a/crates/courseshed-records/tests/support/mod.rs
+++ b/crates/courseshed-records/tests/support/mod.rs
@@ -24,7 +24,7 @@
 
 /// Compacts until there is nothing left to compact.
 pub fn compact_all(store: &mut RecordStore, now_ms: u64) {
-    while store.clean(now_ms).expect("compacted") {}
+    while store.compact(now_ms).expect("compacted") {}
 }
 
 /// A turn with an input of the given size.
@@ -37,7 +37,7 @@
         cached: None,
         tenant: None,
     };
-    Record::Keep { turn, keep_ms }
+    Record::StoreTurn { turn, keep_ms }
 }
 
 /// The segment files of a directory, the oldest first.
--- a/crates/courseshed-records/tests/views.rs
+++ b/crates/courseshed-records/tests/views.rs
@@ -48,7 +48,7 @@
         stores: &machines(stores),
         silent: &set(silent),
         retiring: &set(retiring),
-        wanted: 3,
+        replication_factor: 3,
         replicas: &BTreeMap::new(),
         home: None,
     })
@@ -146,7 +146,7 @@
 #[parameterized(
     fits = { 40, ReservationDecision::Granted { is_first: false } },
     settled_elsewhere = { 31, ReservationDecision::Granted { is_first: false } },
-    too_much = { 30, ReservationDecision::Spent { by_others: 11 } },
+    too_much = { 30, ReservationDecision::Exceeded { used_by_others: 11 } },
 )]
 fn reservation_accounts_for_entries_of_any_replica(budget: u64, expected: ReservationDecision) {
     let view = view(vec![member(1, true), member(2, true), member(3, true)]);
--- a/crates/courseshed-registry/src/avoidance.rs
+++ b/crates/courseshed-registry/src/avoidance.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-use crate::outcomes::{FadingCounts, OutcomeCounts, failure_rate_outliers, has_shared_cause};
+use crate::outcomes::{DecayingCounts, OutcomeCounts, failure_rate_outliers, has_shared_cause};
 
 /// Backoff before the first probe. Covers two or three round trips over a slow link, after which
 /// the outcomes of the calls in flight have been reported.
@@ -37,7 +37,7 @@
 
 /// How a gateway treats a server.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ServerAvailability {
     /// Receives calls as usual.
     Trusted,
     /// Receives one call as a probe.
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AvoidanceChange {
     /// The server is avoided from now on.
-    Begun,
+    Started,
     /// A probe failed and the backoff was extended.
-    Prolonged,
+    Extended,
     /// The server receives calls again.
     Ended,
 }
@@ -79,7 +79,7 @@
     /// When the server was last restored.
     restored_at: Duration,
     /// Outcomes counted before the probes, which are ignored.
-    baseline: FadingCounts,
+    baseline: DecayingCounts,
     /// Calls in flight that are no probes, such as long streams.
     baseline_calls: u32,
 }
@@ -96,7 +96,7 @@
         .collect();
     let failing = failure_rate_outliers(&fresh);
     let avoided = service.iter().zip(&failing);
-    let avoided = avoided.filter(|((avoidance, _), failing)| avoidance.is_on() || **failing);
+    let avoided = avoided.filter(|((avoidance, _), failing)| avoidance.is_active() || **failing);
     if 2 * avoided.count() > service.len() || has_shared_cause(&fresh) {
         let servers = service.iter_mut();
         return servers
@@ -124,12 +124,12 @@
     /// Outcomes counted since the server was last probed.
     #[must_use]
     pub fn fresh(&self, counts: &OutcomeCounts, now: Duration) -> OutcomeCounts {
-        counts.beyond(&self.baseline.at(now))
+        counts.saturating_sub(&self.baseline.at(now))
     }
 
     /// Whether the server is avoided or probed.
     #[must_use]
-    pub fn is_on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.phase != Phase::Trusted
     }
 
@@ -146,14 +146,14 @@
                     self.consecutive_backoffs = 0;
                 }
                 self.back_off(now);
-                Some(AvoidanceChange::Begun)
+                Some(AvoidanceChange::Started)
             }
             Phase::Backoff { until } if until <= now => {
                 self.phase = Phase::Probed {
                     since: now,
                     last_probe: None,
                 };
-                self.baseline = FadingCounts::new(*counts, now);
+                self.baseline = DecayingCounts::new(*counts, now);
                 None
             }
             Phase::Probed { since, .. } => self.evaluate_probes(counts, since, now),
@@ -163,10 +163,10 @@
 
     /// Ends the avoidance because too many servers fail, which points to a shared cause.
     fn cancel(&mut self, counts: &OutcomeCounts, now: Duration) -> Option<AvoidanceChange> {
-        if !self.is_on() {
+        if !self.is_active() {
             return None;
         }
-        self.baseline = FadingCounts::new(*counts, now);
+        self.baseline = DecayingCounts::new(*counts, now);
         self.restore(now)
     }
 
@@ -185,7 +185,7 @@
         let fresh = self.fresh(counts, now);
         if fresh.failed >= PROBE_FAILURE_THRESHOLD {
             self.back_off(now);
-            return Some(AvoidanceChange::Prolonged);
+            return Some(AvoidanceChange::Extended);
         }
         let required_successes =
             REQUIRED_PROBE_SUCCESSES * DECAY_ALLOWANCE * relaxation_factor(since, now);
@@ -205,7 +205,7 @@
 
     /// Updates the known calls in flight from all gateways. Must be called before
     /// [`Self::advance`].
-    pub fn note_calls(&mut self, calls: u32) {
+    pub fn set_in_flight(&mut self, calls: u32) {
         self.baseline_calls = match self.phase {
             Phase::Probed { .. } => self.baseline_calls.min(calls),
             Phase::Trusted | Phase::Backoff { .. } => calls,
@@ -213,7 +213,7 @@
     }
 
     /// Registers that a call was sent to the server.
-    pub fn note_sent(&mut self, now: Duration) {
+    pub fn record_sent(&mut self, now: Duration) {
         if let Phase::Probed { last_probe, .. } = &mut self.phase {
             *last_probe = Some(now);
         }
@@ -221,19 +221,19 @@
 
     /// How a gateway should treat the server now.
     #[must_use]
-    pub fn standing(&self, turn: ProbeTurn, now: Duration) -> Standing {
+    pub fn standing(&self, turn: ProbeTurn, now: Duration) -> ServerAvailability {
         match self.phase {
-            Phase::Trusted => Standing::Trusted,
-            Phase::Backoff { .. } => Standing::Avoided,
+            Phase::Trusted => ServerAvailability::Trusted,
+            Phase::Backoff { .. } => ServerAvailability::Avoided,
             Phase::Probed { since, last_probe } => {
                 let interval_elapsed = last_probe.is_none_or(|last| now >= last + PROBE_INTERVAL);
                 if interval_elapsed
                     && turn.calls <= self.baseline_calls
                     && turn.may_probe(since, now)
                 {
-                    Standing::Probed
+                    ServerAvailability::Probed
                 } else {
-                    Standing::Avoided
+                    ServerAvailability::Avoided
                 }
             }
         }
--- a/crates/courseshed-registry/src/command.rs
+++ b/crates/courseshed-registry/src/command.rs
@@ -61,7 +61,8 @@
         is_evacuated: bool,
     },
     /// Changes the quota bounds that the owner of tenants' permits must observe.
-    BoundQuotas(OwnerBounds),
+    #[serde(rename = "BoundQuotas")]
+    SetQuotaBounds(OwnerBounds),
 }
 
 /// Result of a command.
@@ -72,7 +73,9 @@
     /// There is no machine with that name.
     UnknownMachine,
     /// Too few stores would remain.
-    TooFew,
+    #[serde(rename = "TooFew")]
+    TooFewStores,
     /// The given quota bounds are in effect.
-    QuotasBound(OwnerBounds),
+    #[serde(rename = "QuotasBound")]
+    QuotaBoundsSet(OwnerBounds),
 }
--- a/crates/courseshed-registry/src/freshness.rs
+++ b/crates/courseshed-registry/src/freshness.rs
@@ -34,8 +34,10 @@
     ///
     /// A new leader may announce a lower index than its predecessor; the higher one remains
     /// committed.
-    pub fn note_committed(&mut self, at: Duration, commit: LogIndex) {
-        let commit = self.lacked().map_or(commit, |lacked| lacked.max(commit));
+    pub fn record_committed(&mut self, at: Duration, commit: LogIndex) {
+        let commit = self
+            .newest_unapplied()
+            .map_or(commit, |lacked| lacked.max(commit));
         if commit <= self.applied {
             self.current_as_of = Some(at);
         } else if self.pending.len() < MAX_PENDING_COMMITS {
@@ -44,7 +46,7 @@
     }
 
     /// Registers the index up to which the log is applied.
-    pub fn note_applied(&mut self, applied: LogIndex) {
+    pub fn record_applied(&mut self, applied: LogIndex) {
         self.applied = applied;
         while let Some(announced) = self
             .pending
@@ -68,7 +70,7 @@
 
     /// The newest announced commit index that is not applied yet.
     #[must_use]
-    pub fn lacked(&self) -> Option<LogIndex> {
+    pub fn newest_unapplied(&self) -> Option<LogIndex> {
         self.pending.back().map(|announced| announced.commit)
     }
 }
--- a/crates/courseshed-registry/src/lib.rs
+++ b/crates/courseshed-registry/src/lib.rs
@@ -22,13 +22,15 @@
 mod server_list;
 mod state;
 
-pub use avoidance::{Avoidance, AvoidanceChange, ProbeTurn, Standing, advance_service};
+pub use avoidance::{Avoidance, AvoidanceChange, ProbeTurn, ServerAvailability, advance_service};
 pub use command::{Command, Outcome};
 pub use freshness::CommitFreshness;
 pub use liveness::{Liveness, LivenessSettings};
-pub use load::{LoadBoard, LoadReport, ServerFailures, ServerLoad, pause_after_reports};
-pub use outcomes::{FadingCounts, OutcomeCounts, ServerOutcome, failing_servers};
-pub use proof::{Confirmations, ProofKeeper, RoutingProof};
+pub use load::{LoadAggregator, LoadReport, ServerFailures, ServerLoad, report_interval};
+pub use outcomes::{DecayingCounts, OutcomeCounts, ServerOutcome, failing_servers};
+pub use proof::{Confirmations, LatestProof, RoutingProof};
 pub use server::{Registration, Server, ServerState};
 pub use server_list::{ListChange, ServerChanges, ServerList, ServerListRevision};
-pub use state::{EvacuatedZones, FleetState, FleetUpdate, Known, Retirement, RoutingInForce};
+pub use state::{
+    ActiveRouting, EvacuatedZones, FleetState, FleetUpdate, FollowerRevisions, Retirement,
+};
--- a/crates/courseshed-registry/src/liveness.rs
+++ b/crates/courseshed-registry/src/liveness.rs
@@ -58,7 +58,7 @@
     }
 
     fn apply_changes(&mut self, now: Duration, changes: ServerChanges) {
-        if changes.is_whole {
+        if changes.is_full {
             let listed: BTreeSet<&str> = changes.changed.iter().map(|server| &*server.id).collect();
             self.servers.retain(|id, _| listed.contains(&**id));
             self.servers_by_last_heard
@@ -79,7 +79,11 @@
     }
 
     /// Registers heartbeats of servers. Unknown servers are ignored.
-    pub fn heard_servers(&mut self, now: Duration, ids: impl IntoIterator<Item = String>) {
+    pub fn record_server_heartbeats(
+        &mut self,
+        now: Duration,
+        ids: impl IntoIterator<Item = String>,
+    ) {
         for id in ids {
             if let Some((id, heard)) = self.servers.remove_entry(&*id) {
                 self.servers_by_last_heard.remove(&(heard, id.clone()));
@@ -90,7 +94,7 @@
     }
 
     /// Registers a heartbeat of a node.
-    pub fn heard_node(&mut self, now: Duration, node: NodeId) {
+    pub fn record_node_heartbeat(&mut self, now: Duration, node: NodeId) {
         self.nodes.insert(node, now);
     }
 
--- a/crates/courseshed-registry/src/load.rs
+++ b/crates/courseshed-registry/src/load.rs
@@ -34,7 +34,7 @@
 
 /// The interval after `reports` reports with `servers` entries in total, at least `min_interval`.
 #[must_use]
-pub fn pause_after_reports(reports: usize, servers: usize, min_interval: Duration) -> Duration {
+pub fn report_interval(reports: usize, servers: usize, min_interval: Duration) -> Duration {
     let bytes = REPORT_OVERHEAD_BYTES * reports as f64 + BYTES_PER_SERVER * servers as f64;
     min_interval.max(Duration::from_secs_f64(bytes / REPORT_BYTES_PER_SECOND))
 }
@@ -98,7 +98,8 @@
     /// Number of gateways included.
     pub gateways: u32,
     /// Lifetime of the report after receipt in milliseconds.
-    pub counts_for_ms: u64,
+    #[serde(rename = "counts_for_ms")]
+    pub lifetime_ms: u64,
     /// Load by server.
     pub servers: Vec<ServerLoad>,
     /// Failed calls by server.
@@ -154,16 +155,16 @@
 
     /// Number of entries in the report.
     #[must_use]
-    pub fn lines(&self) -> usize {
+    pub fn entry_count(&self) -> usize {
         self.servers.len() + self.failures.len()
     }
 
     /// The report with a lifetime that suits the interval until the next one.
     #[must_use]
-    pub fn until_next(self, interval: Duration) -> Self {
+    pub fn with_lifetime_for(self, interval: Duration) -> Self {
         let lifetime = MIN_REPORT_LIFETIME.max(interval * REPORT_LIFETIME_INTERVALS);
         Self {
-            counts_for_ms: lifetime.as_millis() as u64,
+            lifetime_ms: lifetime.as_millis() as u64,
             ..self
         }
     }
@@ -177,20 +178,20 @@
 
 /// The newest reports of gateways and of other controllers.
 #[derive(Clone, Debug, Default)]
-pub struct LoadBoard {
+pub struct LoadAggregator {
     gateways: BTreeMap<NodeId, ReceivedReport>,
     controllers: BTreeMap<NodeId, ReceivedReport>,
 }
 
-impl LoadBoard {
+impl LoadAggregator {
     /// Stores the report of a gateway.
-    pub fn note_gateway(&mut self, now: Duration, gateway: NodeId, report: LoadReport) {
+    pub fn record_gateway(&mut self, now: Duration, gateway: NodeId, report: LoadReport) {
         let received = ReceivedReport { at: now, report };
         self.gateways.insert(gateway, received);
     }
 
     /// Stores the sum reported by another controller.
-    pub fn note_controller(&mut self, now: Duration, controller: NodeId, report: LoadReport) {
+    pub fn record_controller(&mut self, now: Duration, controller: NodeId, report: LoadReport) {
         let received = ReceivedReport { at: now, report };
         self.controllers.insert(controller, received);
     }
@@ -203,14 +204,14 @@
 
     /// Sum of all reports except that of one gateway.
     #[must_use]
-    pub fn all_but(&self, now: Duration, gateway: NodeId) -> LoadReport {
+    pub fn sum_excluding(&self, now: Duration, gateway: NodeId) -> LoadReport {
         let own = self.gateways.iter().filter(|(node, _)| **node != gateway);
         let own = own.map(|(_, received)| received);
         sum_valid_reports(own.chain(self.controllers.values()), now)
     }
 
     /// Removes expired reports.
-    pub fn forget_old(&mut self, now: Duration) {
+    pub fn remove_expired(&mut self, now: Duration) {
         self.gateways
             .retain(|_, received| received.is_valid_at(now));
         self.controllers
@@ -220,7 +221,7 @@
 
 impl ReceivedReport {
     fn is_valid_at(&self, now: Duration) -> bool {
-        let lifetime = Duration::from_millis(self.report.counts_for_ms);
+        let lifetime = Duration::from_millis(self.report.lifetime_ms);
         now.saturating_sub(self.at) < lifetime
     }
 }
@@ -238,7 +239,7 @@
         for (server, (in_flight, counts)) in received.report.by_server() {
             let sum = sums.entry(server).or_default();
             sum.0 += in_flight;
-            sum.1 = sum.1.plus(&counts.faded(age));
+            sum.1 = sum.1.plus(&counts.decayed(age));
         }
     }
     let sums = sums.into_iter();
--- a/crates/courseshed-registry/src/outcomes.rs
+++ b/crates/courseshed-registry/src/outcomes.rs
@@ -58,7 +58,7 @@
 
     /// The counts after decay over a time.
     #[must_use]
-    pub fn faded(&self, age: Duration) -> Self {
+    pub fn decayed(&self, age: Duration) -> Self {
         let remaining = (-age.as_secs_f64() / HALF_LIFE.as_secs_f64()).exp2();
         Self {
             answered: self.answered * remaining,
@@ -77,7 +77,7 @@
 
     /// Difference to earlier counts, at least 0.
     #[must_use]
-    pub fn beyond(&self, before: &Self) -> Self {
+    pub fn saturating_sub(&self, before: &Self) -> Self {
         Self {
             answered: (self.answered - before.answered).max(0.0),
             failed: (self.failed - before.failed).max(0.0),
@@ -87,12 +87,12 @@
 
 /// Counts with exponential decay.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct FadingCounts {
+pub struct DecayingCounts {
     counts: OutcomeCounts,
     at: Duration,
 }
 
-impl FadingCounts {
+impl DecayingCounts {
     /// Starts with the given counts at a time.
     #[must_use]
     pub fn new(counts: OutcomeCounts, at: Duration) -> Self {
@@ -100,7 +100,7 @@
     }
 
     /// Counts one call.
-    pub fn note(&mut self, outcome: ServerOutcome, now: Duration) {
+    pub fn record(&mut self, outcome: ServerOutcome, now: Duration) {
         let mut counts = self.at(now);
         match outcome {
             ServerOutcome::Answered => counts.answered += 1.0,
@@ -112,7 +112,7 @@
     /// The decayed counts at a time.
     #[must_use]
     pub fn at(&self, now: Duration) -> OutcomeCounts {
-        self.counts.faded(now.saturating_sub(self.at))
+        self.counts.decayed(now.saturating_sub(self.at))
     }
 }
 
--- a/crates/courseshed-registry/src/proof.rs
+++ b/crates/courseshed-registry/src/proof.rs
@@ -18,7 +18,8 @@
     /// The version; `None` before the first.
     pub version: Option<u64>,
     /// Age of the confirmation when the request arrived, in milliseconds, rounded up.
-    pub before_question_ms: u64,
+    #[serde(rename = "before_question_ms")]
+    pub age_at_request_ms: u64,
 }
 
 /// A version confirmed as the newest at a time of the local clock.
@@ -37,7 +38,7 @@
 impl Confirmations {
     /// Registers that a version was the newest at `at` or later. `at` must be the time of the
     /// request that was confirmed by a quorum or the leader's lease, not that of the reply.
-    pub fn note(&mut self, at: Duration, version: Option<u64>) {
+    pub fn record(&mut self, at: Duration, version: Option<u64>) {
         if self.newest.is_none_or(|newest| newest.at < at) {
             self.newest = Some(ConfirmedVersion { at, version });
         }
@@ -51,22 +52,22 @@
         let age_at_request = arrived.saturating_sub(newest.at);
         (local_version >= newest.version).then(|| RoutingProof {
             version: local_version,
-            before_question_ms: age_at_request.as_micros().div_ceil(1000) as u64,
+            age_at_request_ms: age_at_request.as_micros().div_ceil(1000) as u64,
         })
     }
 }
 
 /// The newest proof received by a follower.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct ProofKeeper {
+pub struct LatestProof {
     proven: Option<ConfirmedVersion>,
 }
 
-impl ProofKeeper {
+impl LatestProof {
     /// Registers a proof received in reply to a request sent at `asked_at`. Returns whether it is
     /// newer than the previous one.
-    pub fn note(&mut self, asked_at: Duration, proof: &RoutingProof) -> bool {
-        let age_at_request = Duration::from_millis(proof.before_question_ms);
+    pub fn record(&mut self, asked_at: Duration, proof: &RoutingProof) -> bool {
+        let age_at_request = Duration::from_millis(proof.age_at_request_ms);
         let Some(at) = (asked_at + CLOCK_OFFSET).checked_sub(age_at_request) else {
             return false;
         };
--- a/crates/courseshed-registry/src/server.rs
+++ b/crates/courseshed-registry/src/server.rs
@@ -16,14 +16,15 @@
 /// One incarnation of a server. A restarted server is a new incarnation.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Server {
-    /// Id of the incarnation, see [`Server::life_id`].
+    /// Id of the incarnation, see [`Server::incarnation_id`].
     pub id: String,
     /// Name of the server, shared by its incarnations; empty if equal to the id.
     #[serde(default)]
     pub name: String,
     /// Start time in Unix milliseconds of the server's clock; `None` if not reported.
     #[serde(default)]
-    pub born_ms: Option<u64>,
+    #[serde(rename = "born_ms")]
+    pub started_ms: Option<u64>,
     /// The service it belongs to.
     pub service: String,
     /// Listen address.
@@ -36,7 +37,8 @@
     pub state: ServerState,
     /// Remaining warm-up time reported at its start, in milliseconds; 0 once warmed up.
     #[serde(default)]
-    pub cold_ms: u32,
+    #[serde(rename = "cold_ms")]
+    pub warmup_remaining_ms: u32,
 }
 
 impl Server {
@@ -44,8 +46,8 @@
     ///
     /// State must be keyed by this id, since nothing known of one incarnation applies to the next.
     #[must_use]
-    pub fn life_id(name: &str, born_ms: Option<u64>) -> String {
-        born_ms.map_or_else(
+    pub fn incarnation_id(name: &str, started_ms: Option<u64>) -> String {
+        started_ms.map_or_else(
             || name.to_owned(),
             |born| format!("{name}{INCARNATION_SEPARATOR}{born}"),
         )
@@ -66,10 +68,11 @@
     /// limits.
     #[must_use]
     pub fn is_unchanged_in(&self, later: &Self, warmup_matters: bool) -> bool {
-        let is_warming_as_before =
-            (self.cold_ms == 0) == (later.cold_ms == 0) && later.cold_ms <= self.cold_ms;
+        let is_warming_as_before = (self.warmup_remaining_ms == 0)
+            == (later.warmup_remaining_ms == 0)
+            && later.warmup_remaining_ms <= self.warmup_remaining_ms;
         let with_previous_warmup = Self {
-            cold_ms: self.cold_ms,
+            warmup_remaining_ms: self.warmup_remaining_ms,
             ..later.clone()
         };
         *self == with_previous_warmup && (is_warming_as_before || !warmup_matters)
@@ -80,12 +83,12 @@
 const INCARNATION_SEPARATOR: char = '/';
 
 /// Whether an id belongs to an incarnation of a server that started after a given time.
-pub(crate) fn is_later_incarnation(id: &str, name: &str, born_ms: u64) -> bool {
+pub(crate) fn is_later_incarnation(id: &str, name: &str, started_ms: u64) -> bool {
     let later = id
         .strip_prefix(name)
         .and_then(|rest| rest.strip_prefix(INCARNATION_SEPARATOR));
     let born = later.and_then(|born| born.parse::<u64>().ok());
-    born.is_some_and(|born| born > born_ms)
+    born.is_some_and(|born| born > started_ms)
 }
 
 /// A registration of a server.
--- a/crates/courseshed-registry/src/server_list.rs
+++ b/crates/courseshed-registry/src/server_list.rs
@@ -182,8 +182,8 @@
         if self.revision <= known.changes && self.revision <= known.removals {
             return None;
         }
-        let is_whole = known.changes == 0 || known.removals < self.forgotten;
-        let known = if is_whole {
+        let is_full = known.changes == 0 || known.removals < self.forgotten;
+        let known = if is_full {
             ServerListRevision {
                 changes: 0,
                 removals: self.revision,
@@ -201,7 +201,7 @@
         let changed = ids.filter_map(|id| self.by_id.get(id));
         let removed = self.removals.range(known.removals.saturating_add(1)..);
         Some(ServerChanges {
-            is_whole,
+            is_full,
             changed: changed.map(|announced| announced.server.clone()).collect(),
             removed: removed.map(|(_, id)| id.clone()).collect(),
             known: ServerListRevision {
@@ -237,7 +237,8 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerChanges {
     /// Whether the follower must discard all servers that are not included.
-    pub is_whole: bool,
+    #[serde(rename = "is_whole")]
+    pub is_full: bool,
     /// Added or changed servers.
     pub changed: Vec<Arc<Server>>,
     /// Ids of removed servers. A server that was added again is in this or a later `changed`.
@@ -260,7 +261,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListChange {
     /// The server was added.
-    Listed(Arc<Server>),
+    Added(Arc<Server>),
     /// The registration of the server changed.
     Changed {
         /// The previous registration.
@@ -269,13 +270,13 @@
         now: Arc<Server>,
     },
     /// The server was removed.
-    Gone(Arc<Server>),
+    Removed(Arc<Server>),
 }
 
 impl ServerList {
     /// Applies changes.
     pub fn apply(&mut self, changes: ServerChanges) {
-        if changes.is_whole {
+        if changes.is_full {
             self.by_id.clear();
         }
         for id in &changes.removed {
@@ -293,12 +294,12 @@
         let differences = before.by_id.diff(&self.by_id);
         differences
             .map(|item| match item {
-                DiffItem::Add(_, server) => ListChange::Listed(server.clone()),
+                DiffItem::Add(_, server) => ListChange::Added(server.clone()),
                 DiffItem::Update { old, new } => ListChange::Changed {
                     before: old.1.clone(),
                     now: new.1.clone(),
                 },
-                DiffItem::Remove(_, server) => ListChange::Gone(server.clone()),
+                DiffItem::Remove(_, server) => ListChange::Removed(server.clone()),
             })
             .collect()
     }
--- a/crates/courseshed-registry/src/state.rs
+++ b/crates/courseshed-registry/src/state.rs
@@ -27,7 +27,7 @@
 
 /// The active routing table with its source document.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct RoutingInForce {
+pub struct ActiveRouting {
     /// The table.
     pub table: Arc<VersionedTable>,
     /// The document submitted by the operator.
@@ -46,7 +46,7 @@
 /// The replicated state of the controllers.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetState {
-    routing: Option<RoutingInForce>,
+    routing: Option<ActiveRouting>,
     servers: AnnouncedServers,
     departed: Vector<String>,
     /// Servers whose heartbeats timed out. They may return unless another server has their address.
@@ -67,7 +67,7 @@
 
 /// Revisions of the state that a follower has.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Known {
+pub struct FollowerRevisions {
     /// Version of the routing table; `None` initially.
     pub routing: Option<u64>,
     /// Whether the follower accepts the routing table in parts. Older versions require a full one.
@@ -88,7 +88,7 @@
     pub evacuated: u64,
 }
 
-impl Known {
+impl FollowerRevisions {
     /// Revisions that are newer than any state: an update for them contains revisions only.
     pub const EVERYTHING: Self = Self {
         routing: Some(u64::MAX),
@@ -111,7 +111,7 @@
 
     /// Whether the follower has received anything yet.
     #[must_use]
-    pub fn is_any(&self) -> bool {
+    pub fn is_initialized(&self) -> bool {
         self.routing.is_some() || self.servers > 0
     }
 }
@@ -120,7 +120,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct FleetUpdate {
     /// Revisions of the follower after applying the update.
-    pub known: Known,
+    pub known: FollowerRevisions,
     /// A newer routing table, for followers that do not accept parts.
     pub routing: Option<Arc<VersionedTable>>,
     /// A part of a newer routing table.
@@ -147,7 +147,7 @@
 impl FleetUpdate {
     /// Whether the update may be delayed and batched, which applies to changes of servers only.
     #[must_use]
-    pub fn can_wait(&self) -> bool {
+    pub fn is_batchable(&self) -> bool {
         self.servers.is_some()
             && !self.has_more()
             && self.routing.is_none()
@@ -177,7 +177,7 @@
 impl FleetState {
     /// The active routing table.
     #[must_use]
-    pub fn routing(&self) -> Option<&RoutingInForce> {
+    pub fn routing(&self) -> Option<&ActiveRouting> {
         self.routing.as_ref()
     }
 
@@ -240,7 +240,7 @@
 
     /// Whether a registration would not change the state.
     #[must_use]
-    pub fn is_ordinary(&self, registration: &Registration) -> bool {
+    pub fn is_redundant(&self, registration: &Registration) -> bool {
         let id = &registration.server.id;
         match self.servers.get(id) {
             Some(known) => {
@@ -267,12 +267,12 @@
 
     /// Whether a later incarnation of the server is or was known, so that this one has ended.
     fn has_later_incarnation(&self, server: &Server) -> bool {
-        let Some(born) = server.born_ms else {
+        let Some(born) = server.started_ms else {
             return false;
         };
         let listed = self.servers.newest_incarnation(server.name());
         let is_later = |id: &String| is_later_incarnation(id, server.name(), born);
-        listed.is_some_and(|incarnation| incarnation.born_ms > Some(born))
+        listed.is_some_and(|incarnation| incarnation.started_ms > Some(born))
             || self.departed.iter().any(is_later)
             || self.expired.iter().any(is_later)
     }
@@ -305,7 +305,7 @@
     /// The changes that a follower lacks. Includes a full routing table unless the follower accepts
     /// parts, which [`courseshed_routing::RecentTables`] provides.
     #[must_use]
-    pub fn update_for(&self, known: Known) -> FleetUpdate {
+    pub fn update_for(&self, known: FollowerRevisions) -> FleetUpdate {
         let routing = self.routing.as_ref().map(|routing| &routing.table);
         let is_newer = |table: &&Arc<VersionedTable>| known.routing < Some(table.version);
         let full_table = routing.filter(is_newer).filter(|_| !known.takes_parts);
@@ -313,7 +313,7 @@
         let sent = servers.as_ref().map(|changes| changes.known);
         let sent = sent.unwrap_or_else(|| self.servers.known());
         FleetUpdate {
-            known: Known {
+            known: FollowerRevisions {
                 routing: routing.map(|table| table.version),
                 takes_parts: known.takes_parts,
                 parts: known.parts,
@@ -351,9 +351,9 @@
             Command::Retire { name, needed } => return self.retire(&name, needed),
             Command::CompleteRetirement { node } => self.complete_retirement(node),
             Command::Evacuate { zone, is_evacuated } => self.evacuate(zone, is_evacuated),
-            Command::BoundQuotas(bounds) => {
+            Command::SetQuotaBounds(bounds) => {
                 self.apply_quota_bounds(&bounds);
-                return Outcome::QuotasBound(bounds);
+                return Outcome::QuotaBoundsSet(bounds);
             }
         }
         Outcome::Done
@@ -362,7 +362,7 @@
     fn replace_routing(&mut self, table: VersionedTable, document: Bytes) {
         let held = self.routing.as_ref().map(|routing| routing.table.version);
         if held.is_none_or(|held| held < table.version) {
-            self.routing = Some(RoutingInForce {
+            self.routing = Some(ActiveRouting {
                 table: Arc::new(table),
                 document,
             });
@@ -390,7 +390,7 @@
     }
 
     fn announce(&mut self, mut registration: Registration) {
-        if self.is_ordinary(&registration) {
+        if self.is_redundant(&registration) {
             return;
         }
         if let Some(known) = self.servers.get(&registration.server.id)
@@ -468,7 +468,7 @@
         }
         let remaining = self.stores.len() - self.retirements.len();
         if remaining <= needed {
-            return Outcome::TooFew;
+            return Outcome::TooFewStores;
         }
         self.retirements.insert(node, Retirement::Running);
         Outcome::Done
--- a/crates/courseshed-registry/tests/answer_size.rs
+++ b/crates/courseshed-registry/tests/answer_size.rs
@@ -4,7 +4,9 @@
 use std::sync::Arc;
 
 use courseshed_consensus::{LogIndex, StateMachine};
-use courseshed_registry::{Command, FleetState, Known, Registration, Server, ServerState};
+use courseshed_registry::{
+    Command, FleetState, FollowerRevisions, Registration, Server, ServerState,
+};
 use courseshed_routing::{CallKind, RecentTables, Route, RoutingTable, Target, VersionedTable};
 
 /// Bytes that each of 91 followers receives over a shared link of 86 Mbit/s within the reply
@@ -17,13 +19,13 @@
         server: Server {
             id: format!("i-{number:08x}/1764730000123"),
             name: format!("i-{number:08x}"),
-            born_ms: Some(1_764_730_000_123),
+            started_ms: Some(1_764_730_000_123),
             service: "engines-of-a-service".to_owned(),
             address: SocketAddr::from(([10, 100, high, low], 8525)),
             zone: "zone-of-a-region-b".to_owned(),
             slots: 16,
             state: ServerState::Ready,
-            cold_ms: 0,
+            warmup_remaining_ms: 0,
         },
         sequence: 1,
     }
@@ -69,9 +71,9 @@
     }
     let mut tables = RecentTables::default();
     tables.push(&table);
-    let known = Known {
+    let known = FollowerRevisions {
         takes_parts: true,
-        ..Known::default()
+        ..FollowerRevisions::default()
     };
     let mut update = state.update_for(known);
     update.table_part = tables.part_for(None, None);
--- a/crates/courseshed-registry/tests/freshness.rs
+++ b/crates/courseshed-registry/tests/freshness.rs
@@ -13,53 +13,53 @@
 fn fully_applied_replica_is_current_as_of_each_announcement() {
     let mut freshness = CommitFreshness::default();
     assert_eq!(freshness.current_as_of(), None);
-    freshness.note_applied(LogIndex(7));
+    freshness.record_applied(LogIndex(7));
     for at in [100, 200, 300] {
-        freshness.note_committed(ms(at), LogIndex(7));
+        freshness.record_committed(ms(at), LogIndex(7));
         assert_eq!(freshness.current_as_of(), Some(ms(at)));
-        assert_eq!(freshness.lacked(), None);
+        assert_eq!(freshness.newest_unapplied(), None);
     }
 }
 
 #[test]
 fn heartbeats_do_not_make_a_lagging_replica_current() {
     let mut freshness = CommitFreshness::default();
-    freshness.note_applied(LogIndex(7));
-    freshness.note_committed(ms(100), LogIndex(7));
+    freshness.record_applied(LogIndex(7));
+    freshness.record_committed(ms(100), LogIndex(7));
     for at in [200, 300, 400] {
-        freshness.note_committed(ms(at), LogIndex(9));
+        freshness.record_committed(ms(at), LogIndex(9));
     }
-    freshness.note_applied(LogIndex(8));
+    freshness.record_applied(LogIndex(8));
     assert_eq!(freshness.current_as_of(), Some(ms(100)));
-    assert_eq!(freshness.lacked(), Some(LogIndex(9)));
-    freshness.note_applied(LogIndex(9));
+    assert_eq!(freshness.newest_unapplied(), Some(LogIndex(9)));
+    freshness.record_applied(LogIndex(9));
     assert_eq!(freshness.current_as_of(), Some(ms(400)));
-    assert_eq!(freshness.lacked(), None);
+    assert_eq!(freshness.newest_unapplied(), None);
 }
 
 #[test]
 fn lagging_replica_is_as_old_as_its_applied_index() {
     let mut freshness = CommitFreshness::default();
     for step in 1..=5 {
-        freshness.note_committed(ms(100 * step), LogIndex(step));
+        freshness.record_committed(ms(100 * step), LogIndex(step));
     }
-    freshness.note_applied(LogIndex(3));
+    freshness.record_applied(LogIndex(3));
     assert_eq!(freshness.current_as_of(), Some(ms(300)));
-    assert_eq!(freshness.lacked(), Some(LogIndex(5)));
+    assert_eq!(freshness.newest_unapplied(), Some(LogIndex(5)));
 }
 
 #[test]
 fn pending_commits_are_bounded_and_freshness_is_not_overstated() {
     let mut freshness = CommitFreshness::default();
     for step in 1..=100_000 {
-        freshness.note_committed(ms(step), LogIndex(1_000_000));
+        freshness.record_committed(ms(step), LogIndex(1_000_000));
     }
     assert_eq!(freshness.current_as_of(), None);
     assert!(freshness.remembered() <= 1_000);
-    freshness.note_applied(LogIndex(1_000_000));
+    freshness.record_applied(LogIndex(1_000_000));
     let current = freshness.current_as_of().expect("a moment");
     assert!(current <= ms(100_000));
-    freshness.note_committed(ms(100_001), LogIndex(1_000_000));
+    freshness.record_committed(ms(100_001), LogIndex(1_000_000));
     assert_eq!(freshness.current_as_of(), Some(ms(100_001)));
 }
 
@@ -67,12 +67,12 @@
 #[test]
 fn lower_commit_of_new_leader_does_not_make_a_lagging_replica_current() {
     let mut freshness = CommitFreshness::default();
-    freshness.note_applied(LogIndex(7));
-    freshness.note_committed(ms(100), LogIndex(7));
-    freshness.note_committed(ms(200), LogIndex(9));
-    freshness.note_committed(ms(300), LogIndex(7));
+    freshness.record_applied(LogIndex(7));
+    freshness.record_committed(ms(100), LogIndex(7));
+    freshness.record_committed(ms(200), LogIndex(9));
+    freshness.record_committed(ms(300), LogIndex(7));
     assert_eq!(freshness.current_as_of(), Some(ms(100)));
-    assert_eq!(freshness.lacked(), Some(LogIndex(9)));
-    freshness.note_applied(LogIndex(9));
+    assert_eq!(freshness.newest_unapplied(), Some(LogIndex(9)));
+    freshness.record_applied(LogIndex(9));
     assert_eq!(freshness.current_as_of(), Some(ms(300)));
 }
--- a/crates/courseshed-registry/tests/growth.rs
+++ b/crates/courseshed-registry/tests/growth.rs
@@ -6,7 +6,8 @@
 
 use courseshed_consensus::{LogIndex, StateMachine};
 use courseshed_registry::{
-    Command, FleetState, Known, Registration, Server, ServerList, ServerListRevision, ServerState,
+    Command, FleetState, FollowerRevisions, Registration, Server, ServerList, ServerListRevision,
+    ServerState,
 };
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
@@ -21,15 +22,15 @@
     let [_, _, high, low] = number.to_be_bytes();
     Registration {
         server: Server {
-            id: Server::life_id(&name, Some(sequence)),
+            id: Server::incarnation_id(&name, Some(sequence)),
             name,
-            born_ms: Some(sequence),
+            started_ms: Some(sequence),
             service: "engines".to_owned(),
             address: SocketAddr::from(([10, 0, high, low], 80)),
             zone: format!("zone-{}", number % 5),
             slots: 6,
             state: ServerState::Ready,
-            cold_ms: 0,
+            warmup_remaining_ms: 0,
         },
         sequence,
     }
@@ -57,10 +58,10 @@
     let region = Region::new(ALLOCATOR);
     announce(&mut state, servers / 2, 2);
     let copy = state.clone();
-    let update = copy.update_for(Known {
+    let update = copy.update_for(FollowerRevisions {
         servers: sent.changes,
         removals: sent.removals,
-        ..Known::default()
+        ..FollowerRevisions::default()
     });
     let changes = update.servers.expect("changes");
     assert_eq!(changes.changed.len() + changes.removed.len(), 2);
--- a/crates/courseshed-registry/tests/outcomes.rs
+++ b/crates/courseshed-registry/tests/outcomes.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use courseshed_registry::{
-    Avoidance, AvoidanceChange, FadingCounts, OutcomeCounts, ProbeTurn, ServerOutcome, Standing,
-    advance_service, failing_servers,
+    Avoidance, AvoidanceChange, DecayingCounts, OutcomeCounts, ProbeTurn, ServerAvailability,
+    ServerOutcome, advance_service, failing_servers,
 };
 use yare::parameterized;
 
@@ -65,11 +65,11 @@
 
 #[test]
 fn counts_halve_each_second() {
-    let mut decaying = FadingCounts::default();
+    let mut decaying = DecayingCounts::default();
     for _ in 0..8 {
-        decaying.note(ServerOutcome::Failed, NOW);
+        decaying.record(ServerOutcome::Failed, NOW);
     }
-    decaying.note(ServerOutcome::Answered, NOW + Duration::from_secs(1));
+    decaying.record(ServerOutcome::Answered, NOW + Duration::from_secs(1));
     let remaining = decaying.at(NOW + Duration::from_secs(2));
     assert!((remaining.failed - 2.0).abs() < 1e-9 && (remaining.answered - 0.5).abs() < 1e-9);
 }
@@ -83,7 +83,7 @@
 /// A gateway's view of three servers, of which the second one failed.
 struct AvoidedServer {
     avoidances: [Avoidance; 3],
-    counts: FadingCounts,
+    counts: DecayingCounts,
     now: Duration,
 }
 
@@ -91,13 +91,13 @@
     fn failed() -> Self {
         let mut avoided = Self {
             avoidances: [Avoidance::default(); 3],
-            counts: FadingCounts::default(),
+            counts: DecayingCounts::default(),
             now: NOW,
         };
         for _ in 0..5 {
-            avoided.counts.note(ServerOutcome::Failed, NOW);
+            avoided.counts.record(ServerOutcome::Failed, NOW);
         }
-        assert_eq!(avoided.advance(), Some(AvoidanceChange::Begun));
+        assert_eq!(avoided.advance(), Some(AvoidanceChange::Started));
         avoided
     }
 
@@ -114,7 +114,7 @@
         changes[1]
     }
 
-    fn standing(&self) -> Standing {
+    fn standing(&self) -> ServerAvailability {
         self.avoidances[1].standing(TURN, self.now)
     }
 
@@ -122,13 +122,17 @@
     /// transition.
     fn probe(&mut self, outcome: ServerOutcome) -> (Duration, Option<AvoidanceChange>) {
         let start = self.now;
-        while self.standing() != Standing::Probed {
+        while self.standing() != ServerAvailability::Probed {
             self.now += Duration::from_millis(10);
             assert_eq!(self.advance(), None);
         }
-        self.avoidances[1].note_sent(self.now);
-        assert_eq!(self.standing(), Standing::Avoided, "one probe at a time");
-        self.counts.note(outcome, self.now);
+        self.avoidances[1].record_sent(self.now);
+        assert_eq!(
+            self.standing(),
+            ServerAvailability::Avoided,
+            "one probe at a time"
+        );
+        self.counts.record(outcome, self.now);
         (self.now - start, self.advance())
     }
 }
@@ -140,7 +144,7 @@
         let (waited, change) = avoided.probe(ServerOutcome::Failed);
         let min_wait = Duration::from_millis(expected);
         assert!(waited >= min_wait && waited < min_wait + Duration::from_millis(150));
-        assert_eq!(change, Some(AvoidanceChange::Prolonged));
+        assert_eq!(change, Some(AvoidanceChange::Extended));
     }
 }
 
@@ -150,7 +154,7 @@
     for expected in [None, None, None, Some(AvoidanceChange::Ended)] {
         assert_eq!(avoided.probe(ServerOutcome::Answered).1, expected);
     }
-    assert_eq!(avoided.standing(), Standing::Trusted);
+    assert_eq!(avoided.standing(), ServerAvailability::Trusted);
     assert_eq!(
         avoided.advance(),
         None,
@@ -184,7 +188,7 @@
     avoided.now += Duration::from_secs(1);
     let busy = ProbeTurn { calls: 1, ..TURN };
     let standing = avoided.avoidances[1].standing(busy, avoided.now);
-    assert_eq!(standing, Standing::Avoided);
+    assert_eq!(standing, ServerAvailability::Avoided);
 }
 
 #[test]
@@ -198,10 +202,10 @@
         advance_service(&mut service, now)
     };
     let first = fail(&mut avoidances, [9.0, 0.0, 0.0], NOW);
-    assert_eq!(first[0], Some(AvoidanceChange::Begun));
+    assert_eq!(first[0], Some(AvoidanceChange::Started));
     let second = fail(&mut avoidances, [9.0, 9.0, 0.0], NOW);
     assert_eq!(second, [Some(AvoidanceChange::Ended), None, None]);
-    assert!(avoidances.iter().all(|avoidance| !avoidance.is_on()));
+    assert!(avoidances.iter().all(|avoidance| !avoidance.is_active()));
 }
 
 /// Long streams from before the failure may outlast the backoff.
@@ -209,14 +213,14 @@
 fn calls_from_before_backoff_do_not_block_probes() {
     let mut avoided = AvoidedServer::failed();
     let with_calls = |calls| ProbeTurn { calls, ..TURN };
-    avoided.avoidances[1].note_calls(2);
+    avoided.avoidances[1].set_in_flight(2);
     avoided.now += Duration::from_millis(600);
     avoided.advance();
     let standing = |avoided: &AvoidedServer, calls| {
         avoided.avoidances[1].standing(with_calls(calls), avoided.now)
     };
-    assert_eq!(standing(&avoided, 2), Standing::Probed);
-    assert_eq!(standing(&avoided, 3), Standing::Avoided);
-    avoided.avoidances[1].note_calls(1);
-    assert_eq!(standing(&avoided, 2), Standing::Avoided);
+    assert_eq!(standing(&avoided, 2), ServerAvailability::Probed);
+    assert_eq!(standing(&avoided, 3), ServerAvailability::Avoided);
+    avoided.avoidances[1].set_in_flight(1);
+    assert_eq!(standing(&avoided, 2), ServerAvailability::Avoided);
 }
--- a/crates/courseshed-registry/tests/state.rs
+++ b/crates/courseshed-registry/tests/state.rs
@@ -7,8 +7,8 @@
 use courseshed_consensus::{LogIndex, StateMachine};
 use courseshed_records::{PartitionId, RecordMember, RecordView, StoreMachine, ViewChange};
 use courseshed_registry::{
-    Command, FleetState, Known, Liveness, LivenessSettings, Outcome, Registration, Retirement,
-    Server, ServerList, ServerState,
+    Command, FleetState, FollowerRevisions, Liveness, LivenessSettings, Outcome, Registration,
+    Retirement, Server, ServerList, ServerState,
 };
 use courseshed_routing::{RoutingTable, Service, VersionedTable};
 use courseshed_types::NodeId;
@@ -38,8 +38,8 @@
         server: Server {
             id: "one".to_owned(),
             name: String::new(),
-            born_ms: None,
-            cold_ms: 0,
+            started_ms: None,
+            warmup_remaining_ms: 0,
             service: "s".to_owned(),
             address: ([127, 0, 0, 1], 80).into(),
             zone: "a".to_owned(),
@@ -85,7 +85,7 @@
     apply(&mut state, Command::Leave { server });
     apply(&mut state, announce(ServerState::Ready, 5));
     assert_eq!(state.servers().count(), 0);
-    assert!(state.is_ordinary(&registration(ServerState::Ready, 6)));
+    assert!(state.is_redundant(&registration(ServerState::Ready, 6)));
 }
 
 #[test]
@@ -134,7 +134,7 @@
         },
         ..late
     };
-    assert!(state.is_ordinary(&late), "it must not be committed again");
+    assert!(state.is_redundant(&late), "it must not be committed again");
 }
 
 /// The delayed registration may also be the first one of the ended incarnation.
@@ -160,20 +160,20 @@
 }
 
 /// A registration of an incarnation of server `one`.
-fn incarnation_registration(born_ms: u64, sequence: u64, state: ServerState) -> Registration {
+fn incarnation_registration(started_ms: u64, sequence: u64, state: ServerState) -> Registration {
     let mut registration = registration(state, sequence);
     let server = &mut registration.server;
-    server.id = Server::life_id("one", Some(born_ms));
+    server.id = Server::incarnation_id("one", Some(started_ms));
     server.name = "one".to_owned();
-    server.born_ms = Some(born_ms);
+    server.started_ms = Some(started_ms);
     registration
 }
 
-fn start_incarnation(state: &mut FleetState, born_ms: u64, sequence: u64) {
+fn start_incarnation(state: &mut FleetState, started_ms: u64, sequence: u64) {
     apply(
         state,
         Command::Announce(incarnation_registration(
-            born_ms,
+            started_ms,
             sequence,
             ServerState::Ready,
         )),
@@ -193,19 +193,19 @@
     if changes_address {
         next.server.address.set_port(81);
     }
-    assert!(!state.is_ordinary(&next));
+    assert!(!state.is_redundant(&next));
     apply(&mut state, Command::Announce(next.clone()));
     assert_eq!(listed(&state), ["one/2000"]);
     let late = incarnation_registration(1_000, 51, ServerState::Draining);
     assert!(
-        state.is_ordinary(&late),
+        state.is_redundant(&late),
         "late registration of the previous incarnation"
     );
     apply(&mut state, Command::Announce(late));
-    let server = Server::life_id("one", Some(1_000));
+    let server = Server::incarnation_id("one", Some(1_000));
     apply(&mut state, Command::Leave { server });
     assert_eq!(listed(&state), ["one/2000"]);
-    assert!(state.is_ordinary(&next));
+    assert!(state.is_redundant(&next));
 }
 
 #[test]
@@ -302,11 +302,11 @@
     let mut state = FleetState::default();
     apply(&mut state, route_to_s(cold_per_s));
     let mut first = registration(ServerState::Ready, 1);
-    first.server.cold_ms = before_ms;
+    first.server.warmup_remaining_ms = before_ms;
     apply(&mut state, Command::Announce(first));
     let mut next = registration(ServerState::Ready, 2);
-    next.server.cold_ms = after_ms;
-    assert_eq!(!state.is_ordinary(&next), is_relevant);
+    next.server.warmup_remaining_ms = after_ms;
+    assert_eq!(!state.is_redundant(&next), is_relevant);
 }
 
 fn evacuate(zone: &str, is_evacuated: bool) -> Command {
@@ -319,7 +319,7 @@
 #[test]
 fn evacuated_zones_are_persisted_and_sent_once() {
     let mut state = FleetState::default();
-    let before = state.update_for(Known::default()).known;
+    let before = state.update_for(FollowerRevisions::default()).known;
     for _ in 0..2 {
         apply(&mut state, evacuate("a", true));
     }
@@ -347,10 +347,10 @@
     let mut state = FleetState::default();
     apply(&mut state, replace(5, "five"));
     apply(&mut state, announce(ServerState::Ready, 1));
-    let first = state.update_for(Known::default());
+    let first = state.update_for(FollowerRevisions::default());
     assert_eq!(first.routing.as_ref().map(|table| table.version), Some(5));
     let servers = first.servers.as_ref().expect("servers");
-    assert!(servers.is_whole);
+    assert!(servers.is_full);
     assert_eq!(servers.changed.len(), 1);
     assert!(state.update_for(first.known).is_empty());
     // A lagging controller has no changes for a follower that is ahead of it.
@@ -368,12 +368,12 @@
 fn only_server_changes_can_wait(command: Command, can_wait: bool) {
     let mut state = FleetState::default();
     apply(&mut state, command);
-    let update = state.update_for(Known::default());
+    let update = state.update_for(FollowerRevisions::default());
     assert!(!update.is_empty());
-    assert_eq!(update.can_wait(), can_wait);
+    assert_eq!(update.is_batchable(), can_wait);
     apply(&mut state, announce(ServerState::Ready, 1));
-    let together = state.update_for(Known::default());
-    assert_eq!(together.can_wait(), can_wait);
+    let together = state.update_for(FollowerRevisions::default());
+    assert_eq!(together.is_batchable(), can_wait);
 }
 
 /// Registers another server at its own address.
@@ -399,7 +399,7 @@
     for number in 0..50 {
         apply(&mut state, announce_other(&format!("s{number:02}"), 1));
     }
-    let mut known = Known::default();
+    let mut known = FollowerRevisions::default();
     let mut follower = ServerList::default();
     let mut follow = |state: &FleetState| {
         let update = state.update_for(known);
@@ -444,7 +444,7 @@
     for number in 0..3_500 {
         apply(&mut state, announce_numbered(number, 1));
     }
-    let mut known = Known::default();
+    let mut known = FollowerRevisions::default();
     let mut follower = ServerList::default();
     let mut next = 0;
     for batch in 0..40 {
@@ -486,13 +486,13 @@
 fn follower_that_lacks_pruned_removals_receives_full_list() {
     let mut state = FleetState::default();
     apply(&mut state, announce_other("stays", 1));
-    let early = state.update_for(Known::default()).known;
+    let early = state.update_for(FollowerRevisions::default()).known;
     for number in 0..4_200_u64 {
         apply(&mut state, announce_other("comes and goes", number));
         apply(&mut state, expire("comes and goes"));
     }
     let changes = state.update_for(early).servers.expect("changes");
-    assert!(changes.is_whole);
+    assert!(changes.is_full);
     assert_eq!(changes.changed.len(), 1);
     assert!(changes.removed.is_empty());
 }
@@ -535,7 +535,7 @@
             store: store(1),
         },
     );
-    assert_eq!(apply(&mut state, retire(1)), Some(Outcome::TooFew));
+    assert_eq!(apply(&mut state, retire(1)), Some(Outcome::TooFewStores));
     assert_eq!(apply(&mut state, retire(0)), Some(Outcome::Done));
     assert_eq!(state.retirement("store-1"), Some(Retirement::Running));
     // A restart on the same disk changes nothing, whereas a wiped disk is a new incarnation.
@@ -589,7 +589,7 @@
     liveness.observe(107 * second, &state);
     assert_eq!(liveness.silent_servers(107 * second), ["one"]);
     assert_eq!(liveness.silent_stores(107 * second, &state).len(), 1);
-    liveness.heard_servers(107 * second, ["one".to_owned()]);
+    liveness.record_server_heartbeats(107 * second, ["one".to_owned()]);
     liveness.observe(108 * second, &state);
     assert!(liveness.silent_servers(108 * second).is_empty());
 }
--- a/crates/courseshed-soak/src/node.rs
+++ b/crates/courseshed-soak/src/node.rs
@@ -169,7 +169,7 @@
         codec: Box::new(ShortCodec),
         policy: Policy::default(),
         tenants: TenantTerms::default(),
-        memory: HeldTerms::of_machine(GATEWAY_MEMORY),
+        memory: HeldTerms::for_machine(GATEWAY_MEMORY),
     };
     let run = gateway::run(settings, signals::stop_asked(), GRACE);
     run.await.map_err(|error| error.to_string())
@@ -185,7 +185,7 @@
         folder: arguments.folder.clone(),
         seeds: Box::new(move || seeds.iter().copied().map(node_at).collect()),
         addresses: arguments.addresses(),
-        limits: StoreLimits::of_machine(STORE_MEMORY, Some(STORE_DISK)),
+        limits: StoreLimits::for_machine(STORE_MEMORY, Some(STORE_DISK)),
         metrics: Arc::new(Metrics::new()),
     })
     .map_err(|error| error.to_string())?;
--- a/crates/courseshed-soak/src/server.rs
+++ b/crates/courseshed-soak/src/server.rs
@@ -101,8 +101,8 @@
                 server: Server {
                     id: self.id.clone(),
                     name: String::new(),
-                    born_ms: None,
-                    cold_ms: 0,
+                    started_ms: None,
+                    warmup_remaining_ms: 0,
                     service: SERVICE.to_owned(),
                     address: self.address,
                     zone: "a".to_owned(),
