--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -1,22 +1,22 @@
-//! The gateway: takes callers' requests and passes them on, unchanged, to a server of their service.
+//! The gateway: accepts client requests and proxies them, unmodified, to a server of the requested
+//! service.
 
 mod access;
 mod answer_times;
 mod assign;
-mod assigned;
+mod assignment;
 mod attempts;
 mod call;
-mod call_book;
 mod call_log;
+mod call_tracker;
 mod choice;
-mod chosen;
 mod core;
 mod cost;
 mod directory;
 mod events;
-mod held;
-mod held_memory;
 mod load;
+mod memory_budget;
+mod memory_tracker;
 mod outcome_change;
 mod outcomes;
 mod plain;
@@ -26,6 +26,7 @@
 mod quota;
 mod refusal;
 mod schedule;
+mod selected_server;
 mod server;
 mod servers;
 mod short_codec;
@@ -37,16 +38,18 @@
 pub use call::{
     AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
 };
-pub use call_book::{CallBook, SILENT_REST};
+pub use call_tracker::{CallTracker, UNRESPONSIVE_COOLDOWN};
 pub use choice::Demand;
-pub use chosen::Chosen;
-pub use cost::{PaceEstimate, Prospect, ServicePace, expected_ms};
+pub use cost::{CostInputs, LatencyEstimate, ServiceLatency, expected_cost_ms};
 pub use events::{Event, EventSplitter};
-pub use held_memory::{CutOff, CutReason, HeldId, HeldKind, HeldMemory, HeldTerms};
+pub use memory_budget::{
+    BufferKind, ConnectionId, Disconnect, DisconnectReason, HeldTerms, MemoryBudget,
+};
 pub use outcome_change::OutcomeChange;
 pub use policy::{Mechanism, Policy, UnknownMechanism};
 pub use prompt_memory::PromptMemory;
 pub use refusal::Refusal;
+pub use selected_server::SelectedServer;
 pub use server::{GatewayError, GatewaySettings, run};
-pub use servers::{Report, ServerTable, ServingTerms};
+pub use servers::{CallReport, ServerTable, ServingConstraints};
 pub use short_codec::ShortCodec;
