--- a/crates/courseshed-edge/tests/controllers.rs
+++ b/crates/courseshed-edge/tests/controllers.rs
@@ -1,4 +1,4 @@
-//! A controller whose disk fails, and comes back.
+//! Controller recovery from disk faults.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use courseshed_consensus::DiskFault;
 use courseshed_edge::controller::ControlError;
 use courseshed_routing::{RoutingTable, VersionedTable};
-use support::{Fleet, plain_route, until};
+use support::{Fleet, plain_route, wait_until};
 
 const GRACE: Duration = Duration::from_secs(20);
 
@@ -19,12 +19,12 @@
     }
 }
 
-/// The replica stopped for good once its disk was full, and its controller went on telling gateways that
-/// nothing was new.
+/// Guards against a replica that stays stopped after a disk fault while its controller keeps reporting its stale
+/// state to gateways as current.
 #[actix_rt::test]
-async fn a_controller_whose_disk_was_full_takes_part_again() {
+async fn controller_rejoins_after_a_disk_fault() {
     let fleet = Fleet::start(GRACE).await;
-    fleet.route(vec![plain_route()]).await;
+    fleet.set_routes(vec![plain_route()]).await;
     for fault in [DiskFault::Full, DiskFault::Torn] {
         fleet.disk_faults.set(fault);
         let refused = fleet
@@ -34,14 +34,14 @@
         assert_eq!(refused, Err(ControlError::Unsure));
         assert!(!fleet.controller.hears_a_leader());
         fleet.disk_faults.set(DiskFault::None);
-        until(async || {
+        wait_until(async || {
             let document = Bytes::from_static(b"five");
-            let done = fleet.controller.replace_routing(table(5), document).await;
-            done.is_ok()
+            let result = fleet.controller.replace_routing(table(5), document).await;
+            result.is_ok()
         })
         .await;
-        let held = fleet.controller.routing().await.expect("a table");
-        assert_eq!(held.table.version, 5);
+        let current = fleet.controller.routing().await.expect("a table");
+        assert_eq!(current.table.version, 5);
         assert!(fleet.controller.hears_a_leader());
     }
 }
--- a/crates/courseshed-edge/tests/forwarding.rs
+++ b/crates/courseshed-edge/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! A gateway before stand-in servers: what is passed on, what is refused, and what is sent again.
+//! Forwarding of calls to mock servers: what the gateway forwards, refuses and retries.
 
 mod support;
 
@@ -7,26 +7,26 @@
 use courseshed_edge::gateway::{Mechanism, Policy};
 use courseshed_edge::records::StoreLimits;
 use courseshed_routing::CallKind;
-use support::server::{Act, END, StandIn, answer, chunk, event, stream_head};
+use support::server::{Action, FINAL_CHUNK, MockServer, chunk, event, response, stream_head};
 use support::{AMPLE_STORE, Fleet, call, get, plain_route, status, stream_route};
 
 const GRACE: Duration = Duration::from_secs(20);
 
 #[actix_rt::test]
-async fn a_call_is_passed_on_as_it_is() {
+async fn call_is_forwarded_unmodified() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| Act::Write(answer(got, "hello"))).await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c1", "", "the body").await;
-    assert_eq!(status(&answer), 200);
-    assert!(answer.ends_with("hello"), "{answer}");
-    let got = server.got();
-    assert_eq!(got.len(), 1);
-    assert!(got[0].head.starts_with("POST /a/x?y=1 HTTP/1.1"));
-    assert_eq!(got[0].header("x-server"), Some("one"));
-    assert_eq!(got[0].body, "the body");
-    let unknown = get(fleet.callers, "/b/").await;
+    let server = MockServer::start(|request| Action::Write(response(request, "hello"))).await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c1", "", "the body").await;
+    assert_eq!(status(&response), 200);
+    assert!(response.ends_with("hello"), "{response}");
+    let requests = server.requests();
+    assert_eq!(requests.len(), 1);
+    assert!(requests[0].head.starts_with("POST /a/x?y=1 HTTP/1.1"));
+    assert_eq!(requests[0].header("x-server"), Some("one"));
+    assert_eq!(requests[0].body, "the body");
+    let unknown = get(fleet.caller_addr, "/b/").await;
     assert_eq!(status(&unknown), 404);
     let counted = "courseshed_calls_total{service=\"s\",outcome=\"answered\"}";
     let figures = fleet.metrics.text();
@@ -34,138 +34,143 @@
 }
 
 #[actix_rt::test]
-async fn a_late_answer_of_another_call_is_dropped() {
+async fn stray_response_to_another_call_is_dropped() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| {
-        let stray = answer(got, "stray").replace("x-call: c2", "x-call: c1");
-        Act::Write(format!("{stray}{}", answer(got, "ours")))
+    let server = MockServer::start(|request| {
+        let stray = response(request, "stray").replace("x-call: c2", "x-call: c1");
+        Action::Write(format!("{stray}{}", response(request, "ours")))
     })
     .await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c2", "", "").await;
-    assert!(answer.ends_with("ours"), "{answer}");
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c2", "", "").await;
+    assert!(response.ends_with("ours"), "{response}");
 }
 
 #[actix_rt::test]
-async fn a_connection_with_something_left_over_is_not_used_again() {
+async fn connection_with_unread_bytes_is_not_reused() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| Act::Write(format!("{}more", answer(got, "whole")))).await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
+    let server =
+        MockServer::start(|request| Action::Write(format!("{}more", response(request, "whole"))))
+            .await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
     for id in ["c1", "c2"] {
-        let answer = call(fleet.callers, id, "", "").await;
-        assert!(answer.ends_with("whole"), "{answer}");
+        let response = call(fleet.caller_addr, id, "", "").await;
+        assert!(response.ends_with("whole"), "{response}");
     }
     assert_eq!(server.connections(), 2);
 }
 
 #[actix_rt::test]
-async fn a_call_that_may_have_run_once_is_not_sent_again() {
+async fn at_most_once_call_that_may_have_run_is_not_retried() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|_| Act::WriteAndClose(String::new())).await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c1", "", "").await;
-    assert_eq!(status(&answer), 502);
-    assert_eq!(server.got().len(), 1);
+    let server = MockServer::start(|_| Action::WriteAndClose(String::new())).await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c1", "", "").await;
+    assert_eq!(status(&response), 502);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// Found by reading: a server that had the call, broke off and ended was no longer counted, and the
-/// caller was told that the call did not run.
+/// Guards against reporting a call as not run when its server shut down after receiving it.
 #[actix_rt::test]
-async fn a_call_whose_server_ended_is_not_said_not_to_have_run() {
+async fn call_whose_server_shut_down_is_not_reported_as_not_run() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|_| Act::End).await;
+    let server = MockServer::start(|_| Action::Shutdown).await;
     let mut route = plain_route();
     route.kind = CallKind::Repeatable;
-    fleet.route(vec![route]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c1", "", "").await;
-    assert_eq!(server.got().len(), 1);
-    assert_eq!(status(&answer), 502, "{answer}");
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c1", "", "").await;
+    assert_eq!(server.requests().len(), 1);
+    assert_eq!(status(&response), 502, "{response}");
 }
 
 #[actix_rt::test]
-async fn a_call_that_a_server_did_not_run_goes_to_another() {
+async fn call_rejected_as_not_run_is_retried_on_another_server() {
     let fleet = Fleet::start(GRACE).await;
-    let full = StandIn::start(|got| {
-        let refused = answer(got, "").replace("200 OK", "503 Full");
-        Act::Write(refused.replace("\r\n\r\n", "\r\nx-not-run: 1\r\n\r\n"))
+    let full = MockServer::start(|request| {
+        let refused = response(request, "").replace("200 OK", "503 Full");
+        Action::Write(refused.replace("\r\n\r\n", "\r\nx-not-run: 1\r\n\r\n"))
     })
     .await;
-    let free = StandIn::start(|got| Act::Write(answer(got, "served"))).await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("full", &full).await;
-    fleet.announce("free", &free).await;
+    let free = MockServer::start(|request| Action::Write(response(request, "served"))).await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("full", &full).await;
+    fleet.add_server("free", &free).await;
     for id in ["c1", "c2", "c3", "c4"] {
-        let answer = call(fleet.callers, id, "", "").await;
-        assert!(answer.ends_with("served"), "{answer}");
+        let response = call(fleet.caller_addr, id, "", "").await;
+        assert!(response.ends_with("served"), "{response}");
     }
-    assert_eq!(free.got().len(), 4);
+    assert_eq!(free.requests().len(), 4);
 }
 
-/// A server that answers each call with a quick error of its own looked idle and fast, and drew ever
-/// more calls.
+/// Guards against preferring a server that fails fast because it looks idle and has a low latency.
 #[actix_rt::test]
-async fn a_server_that_answers_with_errors_is_not_preferred() {
+async fn failing_server_is_not_preferred_for_plain_calls() {
     const CALLS: usize = 60;
-    const SOUND_CALL: Duration = Duration::from_millis(20);
+    const HEALTHY_CALL_TIME: Duration = Duration::from_millis(20);
     let fleet = Fleet::start(GRACE).await;
-    let failing = StandIn::start(|got| {
-        Act::Write(answer(got, "broken").replace("200 OK", "500 Internal Server Error"))
+    let failing = MockServer::start(|request| {
+        Action::Write(response(request, "broken").replace("200 OK", "500 Internal Server Error"))
     })
     .await;
-    let sound = StandIn::start(|got| {
-        std::thread::sleep(SOUND_CALL);
-        Act::Write(answer(got, "served"))
+    let healthy = MockServer::start(|request| {
+        std::thread::sleep(HEALTHY_CALL_TIME);
+        Action::Write(response(request, "served"))
     })
     .await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("failing", &failing).await;
-    fleet.announce("sound", &sound).await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("failing", &failing).await;
+    fleet.add_server("sound", &healthy).await;
     for index in 0..CALLS {
-        let answer = call(fleet.callers, &format!("c{index}"), "", "").await;
-        assert!(matches!(status(&answer), 200 | 500), "{answer}");
+        let response = call(fleet.caller_addr, &format!("c{index}"), "", "").await;
+        assert!(matches!(status(&response), 200 | 500), "{response}");
     }
-    let (failed, served) = (failing.got().len(), sound.got().len());
+    let (failed, served) = (failing.requests().len(), healthy.requests().len());
     assert!(failed < served / 4, "{failed} failed, {served} served");
 }
 
-/// Rests are switched off, so that only what gateways tell each other keeps calls from the server; so is the
-/// scheduler, which would send it no more calls by what it knows itself, as `pool_scheduling.rs` shows.
+/// Backoff and the pool scheduler are disabled, so that only the outcomes shared between gateways keep calls
+/// away from the failing server. `pool_scheduling.rs` covers the scheduler.
 #[actix_rt::test]
-async fn a_server_that_answers_streams_with_errors_is_avoided() {
-    const MOST_CALLS: usize = 2_000;
+async fn server_that_fails_streams_is_avoided() {
+    const MAX_CALLS: usize = 2_000;
     let policy = Policy::without([
         Mechanism::Rests,
         Mechanism::ServerPace,
         Mechanism::PoolScheduler,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
-    let failing = StandIn::start(|got| {
-        Act::Write(answer(got, "broken").replace("200 OK", "503 Service Unavailable"))
+    let failing = MockServer::start(|request| {
+        Action::Write(response(request, "broken").replace("200 OK", "503 Service Unavailable"))
+    })
+    .await;
+    let healthy = MockServer::start(|request| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
     })
     .await;
-    let sound =
-        StandIn::start(|got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)))).await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("failing", &failing).await;
-    fleet.announce("sound", &sound).await;
-    let told = "courseshed_servers_avoided{service=\"s\"} 1";
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("failing", &failing).await;
+    fleet.add_server("sound", &healthy).await;
+    let avoided = "courseshed_servers_avoided{service=\"s\"} 1";
     let mut calls = 0;
-    while !fleet.metrics.text().contains(told) {
+    while !fleet.metrics.text().contains(avoided) {
         calls += 1;
-        assert!(calls < MOST_CALLS, "it is never avoided");
-        let answer = call(fleet.callers, &format!("c{calls}"), "", "").await;
-        assert!(matches!(status(&answer), 200 | 503), "{answer}");
+        assert!(
+            calls < MAX_CALLS,
+            "the failing server was not avoided after {MAX_CALLS} calls"
+        );
+        let response = call(fleet.caller_addr, &format!("c{calls}"), "", "").await;
+        assert!(matches!(status(&response), 200 | 503), "{response}");
     }
-    assert!(failing.got().len() >= 4);
+    assert!(failing.requests().len() >= 4);
 }
 
-/// Callers that give a stream too little time say nothing of its server.
+/// A stream that exceeds the caller's own deadline must not count as a failure of its server.
 #[actix_rt::test]
-async fn a_server_is_not_avoided_for_streams_whose_time_is_over() {
+async fn server_is_not_avoided_for_streams_past_their_deadline() {
     const CALLS: usize = 40;
     const ROUNDS: usize = 5;
     let policy = Policy::without([
@@ -174,210 +179,240 @@
         Mechanism::PoolScheduler,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
-    let slow = StandIn::start(|got| Act::Write(format!("{}{}", stream_head(got), event(1)))).await;
-    let sound =
-        StandIn::start(|got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)))).await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("slow", &slow).await;
-    fleet.announce("sound", &sound).await;
+    let slow =
+        MockServer::start(|request| Action::Write(format!("{}{}", stream_head(request), event(1))))
+            .await;
+    let healthy = MockServer::start(|request| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    })
+    .await;
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("slow", &slow).await;
+    fleet.add_server("sound", &healthy).await;
     for round in 0..ROUNDS {
         let calls = (0..CALLS).map(|index| {
-            let callers = fleet.callers;
+            let caller_addr = fleet.caller_addr;
             let id = format!("c{round}-{index}");
-            async move { call(callers, &id, "x-time: 300\r\n", "").await }
+            async move { call(caller_addr, &id, "x-time: 300\r\n", "").await }
         });
         futures_util::future::join_all(calls).await;
         let figures = fleet.metrics.text();
         assert!(!figures.contains("courseshed_servers_avoided{service=\"s\"} 1"));
     }
-    assert!(slow.got().len() >= CALLS, "{}", slow.got().len());
+    assert!(slow.requests().len() >= CALLS, "{}", slow.requests().len());
 }
 
-/// Found on a played day: servers ran calls of tools and their answers were lost; callers
-/// waited for their deadlines. The servers' pace doesn't count here: on a busy machine one of them
-/// looked slower than the other and got nothing more.
+/// Guards against waiting for the deadline when a response to a repeatable call is lost. Latency-based selection
+/// is disabled, so that a loaded test machine does not steer all calls to one server.
 #[actix_rt::test]
-async fn a_repeatable_call_whose_answer_is_lost_goes_to_another_server() {
+async fn repeatable_call_whose_response_is_lost_is_retried_on_another_server() {
     const ANSWERED: usize = 30;
     let policy = Policy::without([Mechanism::ServerPace]);
     let fleet = Fleet::start_with(GRACE, policy).await;
     let mut answered = 0;
-    let forgetful = StandIn::start(move |got| {
+    let unresponsive = MockServer::start(move |request| {
         answered += 1;
         if answered > ANSWERED {
-            return Act::Write(String::new());
+            return Action::Write(String::new());
         }
-        Act::Write(answer(got, "served"))
+        Action::Write(response(request, "served"))
     })
     .await;
     let mut route = plain_route();
     route.kind = CallKind::Repeatable;
     route.max_attempts = 2;
-    fleet.route(vec![route]).await;
-    fleet.announce("forgetful", &forgetful).await;
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("forgetful", &unresponsive).await;
     for index in 0..ANSWERED {
-        let answer = call(fleet.callers, &format!("c{index}"), "", "").await;
-        assert!(answer.ends_with("served"), "{answer}");
+        let response = call(fleet.caller_addr, &format!("c{index}"), "", "").await;
+        assert!(response.ends_with("served"), "{response}");
     }
-    let sound = StandIn::start(|got| Act::Write(answer(got, "served"))).await;
-    fleet.announce("sound", &sound).await;
+    let healthy = MockServer::start(|request| Action::Write(response(request, "served"))).await;
+    fleet.add_server("sound", &healthy).await;
     for index in 0..ANSWERED {
-        let answer = call(fleet.callers, &format!("d{index}"), "", "").await;
-        assert!(answer.ends_with("served"), "{answer}");
+        let response = call(fleet.caller_addr, &format!("d{index}"), "", "").await;
+        assert!(response.ends_with("served"), "{response}");
     }
-    assert!(forgetful.got().len() > ANSWERED);
+    assert!(unresponsive.requests().len() > ANSWERED);
 }
 
 #[actix_rt::test]
-async fn an_answer_that_is_cut_off_does_not_look_whole() {
+async fn truncated_stream_is_not_terminated_as_complete() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| {
-        let head = stream_head(got);
-        Act::WriteAndClose(format!("{head}{}{}", event(1), chunk("id: 2\nda")))
+    let server = MockServer::start(|request| {
+        let head = stream_head(request);
+        Action::WriteAndClose(format!("{head}{}{}", event(1), chunk("id: 2\nda")))
     })
     .await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c1", "", "").await;
-    assert_eq!(status(&answer), 200);
-    assert!(answer.contains("data: d1"));
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c1", "", "").await;
+    assert_eq!(status(&response), 200);
+    assert!(response.contains("data: d1"));
+    assert!(
+        !response.contains("id: 2"),
+        "a partial event was forwarded: {response}"
+    );
     assert!(
-        !answer.contains("id: 2"),
-        "part of an event was passed on: {answer}"
+        !response.ends_with(FINAL_CHUNK),
+        "the truncated stream ends with the final chunk: {response}"
     );
-    assert!(!answer.ends_with(END), "it looks whole: {answer}");
 }
 
 #[actix_rt::test]
-async fn a_resumable_stream_goes_on_behind_the_last_event() {
+async fn resumable_stream_continues_after_the_last_event() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| match got.header("x-last") {
-        None => Act::WriteAndClose(format!("{}{}{}", stream_head(got), event(1), event(2))),
-        Some(_) => Act::Write(format!("{}{}{}{END}", stream_head(got), event(2), event(3))),
+    let server = MockServer::start(|request| match request.header("x-last") {
+        None => Action::WriteAndClose(format!("{}{}{}", stream_head(request), event(1), event(2))),
+        Some(_) => Action::Write(format!(
+            "{}{}{}{FINAL_CHUNK}",
+            stream_head(request),
+            event(2),
+            event(3)
+        )),
     })
     .await;
     let mut route = stream_route();
     route.resumable = true;
-    fleet.route(vec![route]).await;
-    fleet.announce("one", &server).await;
-    let answer = call(fleet.callers, "c1", "", "").await;
-    assert!(answer.ends_with(END), "{answer}");
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("one", &server).await;
+    let response = call(fleet.caller_addr, "c1", "", "").await;
+    assert!(response.ends_with(FINAL_CHUNK), "{response}");
     for data in ["d1", "d2", "d3"] {
-        assert_eq!(answer.matches(data).count(), 1, "{data} in {answer}");
+        assert_eq!(response.matches(data).count(), 1, "{data} in {response}");
     }
-    assert_eq!(server.got()[1].header("x-last"), Some("2"));
+    assert_eq!(server.requests()[1].header("x-last"), Some("2"));
 }
 
 #[actix_rt::test]
-async fn a_program_is_told_when_its_tokens_are_spent() {
+async fn program_with_exhausted_token_budget_is_refused() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| {
-        Act::Write(format!("{}{}{}{END}", stream_head(got), event(1), event(2)))
+    let server = MockServer::start(|request| {
+        Action::Write(format!(
+            "{}{}{}{FINAL_CHUNK}",
+            stream_head(request),
+            event(1),
+            event(2)
+        ))
     })
     .await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("one", &server).await;
-    fleet.until_records().await;
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("one", &server).await;
+    fleet.wait_for_record_stores().await;
     let headers = "x-program: p\r\nx-budget: 70\r\nx-most: 30\r\n";
-    // Each call is given 20 tokens of the 30 set aside: the third fits only once those are settled.
+    // Each call reserves 30 tokens and uses 20, so the third fits only once the first two are settled.
     for id in ["c1", "c2", "c3"] {
-        support::until(async || {
-            let answer = call(fleet.callers, id, headers, "").await;
-            if status(&answer) == 402 {
+        support::wait_until(async || {
+            let response = call(fleet.caller_addr, id, headers, "").await;
+            if status(&response) == 402 {
                 return false;
             }
-            assert_eq!(status(&answer), 200, "{answer}");
+            assert_eq!(status(&response), 200, "{response}");
             true
         })
         .await;
     }
-    let spent = call(fleet.callers, "c4", headers, "").await;
-    assert_eq!(status(&spent), 402, "{spent}");
-    assert_eq!(server.got().len(), 3);
+    let exhausted = call(fleet.caller_addr, "c4", headers, "").await;
+    assert_eq!(status(&exhausted), 402, "{exhausted}");
+    assert_eq!(server.requests().len(), 3);
 }
 
-/// A store whose index may take no memory has no room once it keeps something.
+/// A store with an index memory limit of 0 is full as soon as it holds a record.
 #[actix_rt::test]
-async fn a_program_is_refused_at_once_while_the_stores_have_no_room() {
+async fn program_is_refused_immediately_while_stores_are_full() {
     let limits = StoreLimits {
         memory_bytes: 0,
         ..AMPLE_STORE
     };
     let fleet = Fleet::start_with_store(GRACE, Policy::default(), limits).await;
-    let server = StandIn::start(|got| {
-        Act::Write(format!("{}{}{}{END}", stream_head(got), event(1), event(2)))
+    let server = MockServer::start(|request| {
+        Action::Write(format!(
+            "{}{}{}{FINAL_CHUNK}",
+            stream_head(request),
+            event(1),
+            event(2)
+        ))
     })
     .await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("one", &server).await;
-    fleet.until_records().await;
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("one", &server).await;
+    fleet.wait_for_record_stores().await;
     let headers = "x-program: p\r\nx-budget: 7000\r\nx-most: 30\r\n";
-    let first = call(fleet.callers, "c0", headers, "").await;
+    let first = call(fleet.caller_addr, "c0", headers, "").await;
     assert_eq!(status(&first), 200, "{first}");
-    // The store notices when it counts what it keeps.
-    support::until(async || {
-        let served = server.got().len();
-        let answer = call(fleet.callers, &format!("c{served}"), headers, "").await;
-        if status(&answer) == 200 {
+    // The store detects that it is full at its next usage check.
+    support::wait_until(async || {
+        let served = server.requests().len();
+        let response = call(fleet.caller_addr, &format!("c{served}"), headers, "").await;
+        if status(&response) == 200 {
             return false;
         }
-        assert_eq!(status(&answer), 503, "{answer}");
-        assert!(answer.ends_with("no_room"), "{answer}");
-        assert!(answer.contains("retry-after: 2.000"), "{answer}");
-        assert_eq!(server.got().len(), served);
+        assert_eq!(status(&response), 503, "{response}");
+        assert!(response.ends_with("no_room"), "{response}");
+        assert!(response.contains("retry-after: 2.000"), "{response}");
+        assert_eq!(server.requests().len(), served);
         true
     })
     .await;
 }
 
 #[actix_rt::test]
-async fn a_turn_brings_the_turns_before_it() {
+async fn turn_is_sent_with_its_preceding_turns() {
     let fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| {
-        Act::Write(format!("{}{}{}{END}", stream_head(got), event(1), event(2)))
+    let server = MockServer::start(|request| {
+        Action::Write(format!(
+            "{}{}{}{FINAL_CHUNK}",
+            stream_head(request),
+            event(1),
+            event(2)
+        ))
     })
     .await;
     let mut route = stream_route();
     route.keeps_turns = true;
-    fleet.route(vec![route]).await;
-    fleet.announce("one", &server).await;
-    fleet.until_records().await;
-    let first = call(fleet.callers, "t1", "", "first").await;
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("one", &server).await;
+    fleet.wait_for_record_stores().await;
+    let first = call(fleet.caller_addr, "t1", "", "first").await;
     assert_eq!(status(&first), 200, "{first}");
-    let second = call(fleet.callers, "t2", "x-previous: t1\r\n", "second").await;
+    let second = call(fleet.caller_addr, "t2", "x-previous: t1\r\n", "second").await;
     assert_eq!(status(&second), 200, "{second}");
-    let third = call(fleet.callers, "t3", "x-previous: t2\r\n", "third").await;
+    let third = call(fleet.caller_addr, "t3", "x-previous: t2\r\n", "third").await;
     assert_eq!(status(&third), 200);
-    assert_eq!(server.got()[2].body, "firstd1\nd2\nsecondd1\nd2\nthird");
-    let unknown = call(fleet.callers, "t4", "x-previous: never\r\n", "x").await;
+    assert_eq!(
+        server.requests()[2].body,
+        "firstd1\nd2\nsecondd1\nd2\nthird"
+    );
+    let unknown = call(fleet.caller_addr, "t4", "x-previous: never\r\n", "x").await;
     assert_eq!(status(&unknown), 404);
 }
 
-/// Programs are kept in partitions of their own, and a turn may go on from one of another program.
+/// Programs are stored in separate partitions, and a turn may continue one of another program.
 #[actix_rt::test]
-async fn a_turn_goes_on_from_that_of_another_program() {
+async fn turn_continues_a_turn_of_another_program() {
     const PROGRAMS: u32 = 8;
     let fleet = Fleet::start(GRACE).await;
-    let script =
-        |got: &support::server::Got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)));
-    let server = StandIn::start(script).await;
+    let respond = |request: &support::server::ReceivedRequest| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    };
+    let server = MockServer::start(respond).await;
     let mut route = stream_route();
     route.keeps_turns = true;
-    fleet.route(vec![route]).await;
-    fleet.announce("one", &server).await;
-    fleet.until_records().await;
-    let first = call(fleet.callers, "t0", "x-program: p0\r\n", "0").await;
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("one", &server).await;
+    fleet.wait_for_record_stores().await;
+    let first = call(fleet.caller_addr, "t0", "x-program: p0\r\n", "0").await;
     assert_eq!(status(&first), 200, "{first}");
     for program in 1..=PROGRAMS {
         let headers = format!("x-program: p{program}\r\nx-previous: t{}\r\n", program - 1);
-        let next = call(fleet.callers, &format!("t{program}"), &headers, "x").await;
+        let next = call(fleet.caller_addr, &format!("t{program}"), &headers, "x").await;
         assert_eq!(status(&next), 200, "{next}");
     }
-    let got = server.got();
-    let whole = format!("0d1\n{}x", "xd1\n".repeat(PROGRAMS as usize - 1));
-    assert_eq!(got[PROGRAMS as usize].body, whole);
+    let requests = server.requests();
+    let conversation = format!("0d1\n{}x", "xd1\n".repeat(PROGRAMS as usize - 1));
+    assert_eq!(requests[PROGRAMS as usize].body, conversation);
     let unknown = call(
-        fleet.callers,
+        fleet.caller_addr,
         "t9",
         "x-program: p1\r\nx-previous: never\r\n",
         "x",
@@ -387,69 +422,86 @@
 }
 
 #[actix_rt::test]
-async fn a_prompt_that_claims_more_tokens_than_fit_is_served() {
+async fn prompt_with_overflowing_token_count_is_served() {
     let fleet = Fleet::start(GRACE).await;
-    let server =
-        StandIn::start(|got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)))).await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("one", &server).await;
+    let server = MockServer::start(|request| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    })
+    .await;
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("one", &server).await;
     let prompt = "x-prompt: 1:4294967295,2:4294967295\r\n";
     for id in ["c1", "c2"] {
-        let answer = call(fleet.callers, id, prompt, "").await;
-        assert_eq!(status(&answer), 200, "{answer}");
+        let response = call(fleet.caller_addr, id, prompt, "").await;
+        assert_eq!(status(&response), 200, "{response}");
     }
 }
 
-/// A line of turns that comes in through another gateway goes on where its prompt was read.
+/// A conversation that continues through another gateway is routed to the server that holds its prompt.
 #[actix_rt::test]
-async fn another_gateway_learns_from_the_kept_turn_which_server_read_its_prompt() {
-    const LINES: u64 = 8;
+async fn another_gateway_finds_the_server_with_the_cached_prompt_from_the_stored_turn() {
+    const CONVERSATIONS: u64 = 8;
     let fleet = Fleet::start(GRACE).await;
-    let script =
-        |got: &support::server::Got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)));
-    let reader = StandIn::start(script).await;
+    let respond = |request: &support::server::ReceivedRequest| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    };
+    let cached = MockServer::start(respond).await;
     let mut route = stream_route();
     route.keeps_turns = true;
-    fleet.route(vec![route]).await;
-    fleet.announce("reader", &reader).await;
-    fleet.until_records().await;
-    for line in 0..LINES {
-        let prompt = format!("x-prompt: {line}:1000,{}:50000\r\n", LINES + line);
-        let first = call(fleet.callers, &format!("first{line}"), &prompt, "").await;
+    fleet.set_routes(vec![route]).await;
+    fleet.add_server("reader", &cached).await;
+    fleet.wait_for_record_stores().await;
+    for conversation in 0..CONVERSATIONS {
+        let prompt = format!(
+            "x-prompt: {conversation}:1000,{}:50000\r\n",
+            CONVERSATIONS + conversation
+        );
+        let first = call(
+            fleet.caller_addr,
+            &format!("first{conversation}"),
+            &prompt,
+            "",
+        )
+        .await;
         assert_eq!(status(&first), 200, "{first}");
     }
-    let stranger = StandIn::start(script).await;
-    fleet.announce("stranger", &stranger).await;
-    let other = fleet.start_another_gateway().await;
-    support::until(async || {
-        call(other.callers, support::server::PROBE, "", "").await;
-        reader.probes() > 0 && stranger.probes() > 1
+    let uncached = MockServer::start(respond).await;
+    fleet.add_server("stranger", &uncached).await;
+    let other = fleet.start_second_gateway().await;
+    support::wait_until(async || {
+        call(other.caller_addr, support::server::PROBE_CALL_ID, "", "").await;
+        cached.probes() > 0 && uncached.probes() > 1
     })
     .await;
-    for line in 0..LINES {
+    for conversation in 0..CONVERSATIONS {
         let headers = format!(
-            "x-previous: first{line}\r\nx-prompt: {line}:1000,{}:50020\r\n",
-            LINES + line
+            "x-previous: first{conversation}\r\nx-prompt: {conversation}:1000,{}:50020\r\n",
+            CONVERSATIONS + conversation
         );
-        let second = call(other.callers, &format!("second{line}"), &headers, "").await;
+        let second = call(
+            other.caller_addr,
+            &format!("second{conversation}"),
+            &headers,
+            "",
+        )
+        .await;
         assert_eq!(status(&second), 200, "{second}");
     }
-    assert_eq!(stranger.got().len(), 0);
+    assert_eq!(uncached.requests().len(), 0);
 }
 
-/// A caller's connection was closed without an answer: a call taken 7.1 s after SIGTERM was cut off by the end of
-/// the process.
+/// Guards against accepting calls during shutdown that the process cannot finish before it exits.
 #[actix_rt::test]
-async fn a_stopping_gateway_takes_only_what_it_can_finish() {
+async fn stopping_gateway_accepts_only_calls_it_can_finish() {
     let mut fleet = Fleet::start(GRACE).await;
-    let server = StandIn::start(|got| Act::Write(answer(got, "served"))).await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    call(fleet.callers, "c1", "", "").await;
+    let server = MockServer::start(|request| Action::Write(response(request, "served"))).await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    call(fleet.caller_addr, "c1", "", "").await;
     fleet.stop().await;
-    let long = call(fleet.callers, "c2", "", "").await;
+    let long = call(fleet.caller_addr, "c2", "", "").await;
     assert_eq!(status(&long), 503, "{long}");
     assert!(long.contains("retry-after"), "{long}");
-    let short = call(fleet.callers, "c3", "x-time: 2000\r\n", "").await;
+    let short = call(fleet.caller_addr, "c3", "x-time: 2000\r\n", "").await;
     assert_eq!(status(&short), 200, "{short}");
 }
--- a/crates/courseshed-edge/tests/lagging_controller.rs
+++ b/crates/courseshed-edge/tests/lagging_controller.rs
@@ -1,18 +1,7 @@
-//! A controller that hears its leader, but lacks what that leader has committed.
+//! A controller that receives the leader's heartbeats but lacks committed entries.
 //!
-//! What was seen: operators were told that routes were in force, and 2.6 and 2.9 s later two of 79 gateways
-//! answered 404 for them.
-//!
-//! Order of events: operators changed the routing table two or three times a second. Two of five controllers had
-//! been cut off for some seconds, and returned. They heard the leader again at once, long before they had
-//! been sent what had been committed meanwhile.
-//!
-//! Cause: a controller counted as fresh when it had heard the leader, whatever it lacked, and so told its followers
-//! that nothing was new. They had no reason to ask another one.
-//!
-//! Proof: on a day with such a cut, `replica_behind` showed a controller that heard the leader and lacked up to 13 committed
-//! entries for 1.6 s. The test below, with such a controller, left its gateway at the older table for
-//! as long as it lasted.
+//! Guards against such a controller reporting its stale state to its followers as current, for example after a
+//! network partition, which leaves their gateways on an old routing table.
 
 mod support;
 
@@ -37,22 +26,21 @@
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
 use courseshed_types::NodeId;
 use parking_lot::Mutex;
-use support::{controller_settings, free_port, new_subnet, plain_route, table, until};
+use support::{controller_settings, free_port, new_subnet, plain_route, table, wait_until};
 use tempfile::TempDir;
 use tokio::time::{sleep, timeout};
 
-/// How soon a change must be in force everywhere, by the shortest bound that users ask for.
-const IN_FORCE: Duration = Duration::from_secs(2);
-/// More than the time after which a follower looks whether its first choice serves again.
-const LONGER_THAN_A_CHECK: Duration = Duration::from_secs(7);
-/// How often a leader lets its followers hear it.
-const HEARTBEAT: Duration = Duration::from_millis(100);
-/// The group, term and disks' lives of the controllers of a first start.
+/// The shortest time that users require for a change to be active on all gateways.
+const PROPAGATION_LIMIT: Duration = Duration::from_secs(2);
+/// Longer than the interval at which a follower retries its preferred controller.
+const PREFERRED_RETRY_WAIT: Duration = Duration::from_secs(7);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
+/// Group, term and storage incarnation of controllers at their first start.
 const GROUP: GroupId = GroupId(1);
 const TERM: Term = Term(1);
 const INCARNATION: u64 = 1;
 
-/// What a leader has committed, and what of it the controller under test was sent.
+/// The leader's committed entries, and how many of them were sent to the controller under test.
 #[derive(Default)]
 struct Log {
     state: FleetState,
@@ -60,13 +48,13 @@
     sent: usize,
 }
 
-/// The leader, as far as one replica and its followers see it.
-struct Leader {
+/// A mock leader of the controller under test.
+struct MockLeader {
     log: Mutex<Log>,
 }
 
-impl Leader {
-    /// Commits a version of the routing table, with the other replicas.
+impl MockLeader {
+    /// Commits a version of the routing table.
     fn commit(&self, version: u64) {
         let command = Command::ReplaceRouting {
             table: table(version, vec![plain_route()], None),
@@ -83,11 +71,11 @@
         });
     }
 
-    /// All that the replica was not sent yet, or nothing: a heartbeat.
-    fn append(&self, sends_entries: bool) -> MessageBody {
+    /// An append of all unsent entries, or an empty one as a heartbeat.
+    fn append(&self, with_entries: bool) -> MessageBody {
         let mut log = self.log.lock();
         let from = log.sent;
-        if sends_entries {
+        if with_entries {
             log.sent = log.committed.len();
         }
         let entries = log.committed[from..log.sent].to_vec();
@@ -102,7 +90,7 @@
 }
 
 struct LeaderPeers {
-    leader: Arc<Leader>,
+    leader: Arc<MockLeader>,
     controllers: Vec<NodeId>,
 }
 
@@ -118,7 +106,7 @@
         let PeerRequest::Follow { known, hold_ms, .. } = request else {
             return;
         };
-        // This leader tells tables whole, as earlier builds do.
+        // This leader sends full tables, as earlier builds do.
         let known = Known {
             takes_parts: false,
             ..known
@@ -141,15 +129,15 @@
     }
 }
 
-/// Lets a replica hear the leader without being sent anything.
-async fn keep_hearing(peers: Arc<Peers>, leader: Arc<Leader>, from: NodeId, to: NodeId) {
+/// Sends heartbeats without entries to a replica.
+async fn send_heartbeats(peers: Arc<Peers>, leader: Arc<MockLeader>, from: NodeId, to: NodeId) {
     loop {
-        tell(&peers, from, to, leader.append(false));
-        sleep(HEARTBEAT).await;
+        send(&peers, from, to, leader.append(false));
+        sleep(HEARTBEAT_INTERVAL).await;
     }
 }
 
-fn tell(peers: &Peers, from: NodeId, to: NodeId, body: MessageBody) {
+fn send(peers: &Peers, from: NodeId, to: NodeId, body: MessageBody) {
     let message = Message {
         group: GROUP,
         from: ReplicaAddress::new(replica_of(from), INCARNATION),
@@ -162,8 +150,8 @@
         .expect("a known peer");
 }
 
-/// A machine whose first choice among controllers is the given one.
-fn follower_of(host: impl Fn(u8) -> Ipv4Addr, preferred: NodeId, other: NodeId) -> NodeId {
+/// A node whose preferred controller is the given one.
+fn node_preferring(host: impl Fn(u8) -> Ipv4Addr, preferred: NodeId, other: NodeId) -> NodeId {
     let candidate = |node| CandidateController {
         node,
         answered_in: Some(Duration::ZERO),
@@ -174,22 +162,22 @@
             let candidates = vec![candidate(preferred), candidate(other)];
             order_of_controllers(*node, candidates)[0] == preferred
         })
-        .expect("half of all nodes prefer it")
+        .expect("a node that prefers the controller")
 }
 
-/// A controller under test, a follower that prefers it, and its leader.
+/// A controller under test, a follower that prefers it, and a mock leader.
 struct Fleet {
     controller: ControllerHandle,
-    leader: Arc<Leader>,
+    leader: Arc<MockLeader>,
     peers: Arc<Peers>,
     follower: Arc<FleetFollower>,
-    behind: NodeId,
-    leading: NodeId,
+    lagging_node: NodeId,
+    leader_node: NodeId,
     _folder: TempDir,
 }
 
 impl Fleet {
-    /// Starts with version 1 in force everywhere, and the follower at the controller under test.
+    /// Starts with version 1 active everywhere and the follower connected to the controller under test.
     async fn start() -> Self {
         let folder = TempDir::new().expect("a folder");
         let [a, b, c, _] = new_subnet().octets();
@@ -197,35 +185,44 @@
         let addresses = PeerAddresses {
             first_port: free_port(host(1)),
         };
-        let [behind, leading, silent] = [1, 2, 3].map(|number| node_at(host(number)));
+        let [lagging_node, leader_node, silent_node] =
+            [1, 2, 3].map(|number| node_at(host(number)));
         let settings = controller_settings(
-            behind,
+            lagging_node,
             folder.path(),
             addresses,
-            vec![behind, leading, silent],
+            vec![lagging_node, leader_node, silent_node],
         );
         let controller = controller::start(settings).await.expect("a controller");
-        let leader = Arc::new(Leader {
+        let leader = Arc::new(MockLeader {
             log: Mutex::default(),
         });
         let handler = Arc::new(LeaderPeers {
             leader: leader.clone(),
-            controllers: vec![behind, leading],
+            controllers: vec![lagging_node, leader_node],
         });
-        let peers = start_peers(leading, addresses, PeerPort::Controller, handler.clone());
+        let peers = start_peers(
+            leader_node,
+            addresses,
+            PeerPort::Controller,
+            handler.clone(),
+        );
         let peers = Arc::new(peers.expect("a port"));
-        peers.set_address(behind, addresses.of(behind, PeerPort::Controller));
+        peers.set_address(
+            lagging_node,
+            addresses.of(lagging_node, PeerPort::Controller),
+        );
         leader.commit(1);
-        tell(&peers, leading, behind, leader.append(true));
-        let hearing = keep_hearing(peers.clone(), leader.clone(), leading, behind);
-        tokio::spawn(hearing);
-        let node = follower_of(host, behind, leading);
-        let own = start_peers(node, addresses, PeerPort::Gateway, handler);
+        send(&peers, leader_node, lagging_node, leader.append(true));
+        let heartbeats = send_heartbeats(peers.clone(), leader.clone(), leader_node, lagging_node);
+        tokio::spawn(heartbeats);
+        let node = node_preferring(host, lagging_node, leader_node);
+        let follower_peers = start_peers(node, addresses, PeerPort::Gateway, handler);
         let follower = FleetFollower::new(
-            Arc::new(own.expect("a port")),
+            Arc::new(follower_peers.expect("a port")),
             addresses,
             FollowerKind::Gateway { revocation: None },
-            Box::new(move || vec![behind, leading]),
+            Box::new(move || vec![lagging_node, leader_node]),
         );
         tokio::spawn(follower.clone().run());
         let fleet = Self {
@@ -233,12 +230,12 @@
             leader,
             peers,
             follower,
-            behind,
-            leading,
+            lagging_node,
+            leader_node,
             _folder: folder,
         };
-        until(async || fleet.version() == Some(1)).await;
-        until(async || fleet.followed() == Some(behind)).await;
+        wait_until(async || fleet.version() == Some(1)).await;
+        wait_until(async || fleet.followed_controller() == Some(lagging_node)).await;
         fleet
     }
 
@@ -246,54 +243,62 @@
         self.follower.view().routing.map(|routing| routing.version)
     }
 
-    fn followed(&self) -> Option<NodeId> {
+    fn followed_controller(&self) -> Option<NodeId> {
         self.follower.controllers().first().copied()
     }
 
-    /// Sends the controller under test all that it lacks.
-    fn let_catch_up(&self) {
+    /// Sends all missing entries to the controller under test.
+    fn catch_up(&self) {
         let entries = self.leader.append(true);
-        tell(&self.peers, self.leading, self.behind, entries);
+        send(&self.peers, self.leader_node, self.lagging_node, entries);
     }
 }
 
 #[actix_rt::test]
-async fn a_controller_that_lacks_what_is_committed_keeps_no_gateway_from_it() {
+async fn lagging_controller_does_not_delay_its_gateways() {
     let fleet = Fleet::start().await;
     fleet.leader.commit(2);
-    let in_force = until(async || fleet.version() == Some(2));
-    let is_in_time = timeout(IN_FORCE, in_force).await.is_ok();
-    assert!(is_in_time, "the gateway holds {:?}", fleet.version());
+    let updated = wait_until(async || fleet.version() == Some(2));
+    let is_in_time = timeout(PROPAGATION_LIMIT, updated).await.is_ok();
+    assert!(
+        is_in_time,
+        "the gateway still uses version {:?}",
+        fleet.version()
+    );
 }
 
-/// Operators that asked how far the emptying of a machine is were told that nobody had asked for it.
+/// Guards against reporting a machine's retirement as unknown when its request may be among the missing entries.
 #[actix_rt::test]
-async fn a_controller_that_lacks_what_is_committed_denies_no_retirement() {
+async fn lagging_controller_does_not_report_retirement_as_unknown() {
     let fleet = Fleet::start().await;
     let known = fleet.controller.retirement("store-1");
     assert_eq!(known, Err(ControlError::UnknownMachine));
     fleet.leader.commit(2);
-    until(async || !fleet.controller.hears_a_leader()).await;
+    wait_until(async || !fleet.controller.hears_a_leader()).await;
     let unsure = fleet.controller.retirement("store-1");
     assert_eq!(unsure, Err(ControlError::Unsure));
-    fleet.let_catch_up();
-    until(async || fleet.controller.hears_a_leader()).await;
+    fleet.catch_up();
+    wait_until(async || fleet.controller.hears_a_leader()).await;
     let known = fleet.controller.retirement("store-1");
     assert_eq!(known, Err(ControlError::UnknownMachine));
 }
 
-/// After a cut nobody went back: the leader of five had 115 connections, and one that had returned 28.
+/// Guards against connections staying concentrated on the leader after a network partition.
 #[actix_rt::test]
-async fn a_gateway_returns_to_its_controller_once_that_has_caught_up() {
+async fn gateway_returns_to_its_preferred_controller_once_that_has_caught_up() {
     let fleet = Fleet::start().await;
     fleet.leader.commit(2);
-    until(async || fleet.followed() == Some(fleet.leading)).await;
-    sleep(LONGER_THAN_A_CHECK).await;
-    assert_eq!(fleet.followed(), Some(fleet.leading), "it lacks version 2");
-    fleet.let_catch_up();
-    until(async || fleet.followed() == Some(fleet.behind)).await;
+    wait_until(async || fleet.followed_controller() == Some(fleet.leader_node)).await;
+    sleep(PREFERRED_RETRY_WAIT).await;
+    assert_eq!(
+        fleet.followed_controller(),
+        Some(fleet.leader_node),
+        "the preferred controller lacks version 2"
+    );
+    fleet.catch_up();
+    wait_until(async || fleet.followed_controller() == Some(fleet.lagging_node)).await;
     fleet.leader.commit(3);
-    fleet.let_catch_up();
-    until(async || fleet.version() == Some(3)).await;
-    assert_eq!(fleet.followed(), Some(fleet.behind));
+    fleet.catch_up();
+    wait_until(async || fleet.version() == Some(3)).await;
+    assert_eq!(fleet.followed_controller(), Some(fleet.lagging_node));
 }
--- a/crates/courseshed-edge/tests/pool_scheduling.rs
+++ b/crates/courseshed-edge/tests/pool_scheduling.rs
@@ -1,5 +1,5 @@
-//! Calls of a pool: granted by the scheduler in a controller, by the gateway itself while there is none, and
-//! told to whoever schedules next.
+//! Pool scheduling: grants by a controller's scheduler, local choice by the gateway without one, and the reports
+//! that a new scheduler receives.
 
 mod support;
 
@@ -21,32 +21,31 @@
 use courseshed_routing::Route;
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
 use courseshed_types::{NodeId, ServerKey};
-use support::scheduler::{Shown, StandInController};
-use support::server::{Act, END, StandIn, answer, chunk, event, stream_head};
+use support::scheduler::{FleetSnapshot, MockController};
+use support::server::{Action, FINAL_CHUNK, MockServer, chunk, event, response, stream_head};
 use support::{
     AMPLE_MEMORY, Fleet, Gateway, call, free_port, get, new_subnet, plain_route, start_gateway,
-    status, stream_route, table, until,
+    status, stream_route, table, wait_until,
 };
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
 
 const GRACE: Duration = Duration::from_secs(20);
-/// How long a request to a controller may take in tests, which may be slow.
-const PATIENCE: Duration = Duration::from_secs(10);
-/// Calls that an engine runs at once; the scheduler may send a few more ahead.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(10);
+/// Concurrent calls per engine; the scheduler may grant a few more in advance.
 const SLOTS: u64 = 4;
 
-/// A gateway that follows stand-in controllers.
-struct StandInFleet {
+/// A gateway that follows mock controllers.
+struct MockFleet {
     gateway: Gateway,
-    controllers: Vec<StandInController>,
+    controllers: Vec<MockController>,
 }
 
 type Script = Box<dyn FnMut(&CallDemand) -> Option<PeerReply> + Send>;
 
-impl StandInFleet {
-    /// Starts a gateway with one engine, `one`, and a controller for each script.
-    async fn start(route: Route, engine: &StandIn, scripts: Vec<Script>) -> Self {
+impl MockFleet {
+    /// Starts a gateway with one engine, `one`, and one mock controller per script.
+    async fn start(route: Route, engine: &MockServer, scripts: Vec<Script>) -> Self {
         let [a, b, c, _] = new_subnet().octets();
         let ip = |host: u8| Ipv4Addr::new(a, b, c, host);
         let addresses = PeerAddresses {
@@ -55,14 +54,14 @@
         let hosts: Vec<Ipv4Addr> = (0..scripts.len())
             .map(|index| ip(10 + index as u8))
             .collect();
-        let shown = Shown {
+        let snapshot = FleetSnapshot {
             table: Arc::new(table(1, vec![route], None)),
-            servers: vec![listed("one", engine)],
+            servers: vec![server_entry("one", engine)],
             controllers: hosts.iter().copied().map(node_at).collect(),
         };
         let starts = hosts.iter().zip(scripts);
         let controllers = starts
-            .map(|(host, script)| StandInController::start(*host, addresses, shown.clone(), script))
+            .map(|(host, script)| MockController::start(*host, addresses, snapshot.clone(), script))
             .collect();
         let gateway = start_gateway(
             ip(3),
@@ -73,7 +72,7 @@
             None,
             HeldTerms::of_machine(AMPLE_MEMORY),
         );
-        until(async || status(&get(gateway.readiness, "/").await) == 200).await;
+        wait_until(async || status(&get(gateway.readiness_addr, "/").await) == 200).await;
         Self {
             gateway,
             controllers,
@@ -81,23 +80,26 @@
     }
 
     async fn call(&self, id: &str) -> String {
-        call(self.gateway.callers, id, "", "").await
+        call(self.gateway.caller_addr, id, "", "").await
     }
 
-    fn asked(&self) -> usize {
+    /// The number of scheduling requests received by all controllers.
+    fn demand_count(&self) -> usize {
         let controllers = self.controllers.iter();
-        controllers.map(|one| one.got.lock().asked.len()).sum()
+        controllers
+            .map(|one| one.received.lock().demands.len())
+            .sum()
     }
 }
 
-fn listed(id: &str, stand_in: &StandIn) -> Server {
+fn server_entry(id: &str, mock_server: &MockServer) -> Server {
     Server {
         id: id.to_owned(),
         name: String::new(),
         born_ms: None,
         cold_ms: 0,
         service: "s".to_owned(),
-        address: stand_in.address,
+        address: mock_server.address,
         zone: "a".to_owned(),
         slots: 4,
         state: ServerState::Ready,
@@ -116,11 +118,11 @@
     Verdict::Granted(ServerKey::of("one"))
 }
 
-async fn echo() -> StandIn {
-    StandIn::start(|got| Act::Write(answer(got, "hello"))).await
+async fn start_hello_server() -> MockServer {
+    MockServer::start(|request| Action::Write(response(request, "hello"))).await
 }
 
-/// How many choices were made by the scheduler or by the gateway.
+/// The number of server choices made `by` "scheduler" or "local".
 fn choices(gateway: &courseshed_edge::metrics::Metrics, by: &str) -> u64 {
     let prefix = format!("courseshed_choices_total{{by=\"{by}\"}} ");
     let text = gateway.text();
@@ -129,47 +131,51 @@
 }
 
 #[actix_rt::test]
-async fn a_call_goes_to_the_engine_that_the_controller_grants() {
+async fn call_is_sent_to_the_engine_granted_by_the_controller() {
     let fleet = Fleet::start(GRACE).await;
-    let server = echo().await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
+    let server = start_hello_server().await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
     let before = choices(&fleet.metrics, "scheduler");
     for id in ["c1", "c2", "c3"] {
-        let answer = call(fleet.callers, id, "", "").await;
-        assert!(answer.ends_with("hello"), "{answer}");
+        let response = call(fleet.caller_addr, id, "", "").await;
+        assert!(response.ends_with("hello"), "{response}");
     }
     assert_eq!(choices(&fleet.metrics, "scheduler"), before + 3);
-    assert_eq!(server.got().len(), 3);
+    assert_eq!(server.requests().len(), 3);
 }
 
 #[actix_rt::test]
-async fn without_a_verdict_the_gateway_chooses_by_itself() {
-    let server = echo().await;
+async fn gateway_chooses_locally_without_a_verdict() {
+    let server = start_hello_server().await;
     let silent = || -> Script { Box::new(|_| None) };
     let scripts = vec![silent(), silent(), silent()];
-    let fleet = StandInFleet::start(plain_route(), &server, scripts).await;
+    let fleet = MockFleet::start(plain_route(), &server, scripts).await;
     let began = Instant::now();
     for id in ["c1", "c2", "c3", "c4", "c5"] {
-        let answer = fleet.call(id).await;
-        assert!(answer.ends_with("hello"), "{answer}");
+        let response = fleet.call(id).await;
+        assert!(response.ends_with("hello"), "{response}");
     }
-    // Each controller is asked once in the time that it is passed over for.
-    let rests = began.elapsed().as_millis() / UNRESPONSIVE_COOLDOWN.as_millis();
-    let most = 3 * (1 + usize::try_from(rests).expect("a number"));
-    assert!(fleet.asked() <= most, "{} > {most}", fleet.asked());
-    assert!(fleet.asked() >= 2);
+    // Each controller is asked at most once per cooldown.
+    let cooldowns = began.elapsed().as_millis() / UNRESPONSIVE_COOLDOWN.as_millis();
+    let max = 3 * (1 + usize::try_from(cooldowns).expect("a number"));
+    assert!(
+        fleet.demand_count() <= max,
+        "{} > {max}",
+        fleet.demand_count()
+    );
+    assert!(fleet.demand_count() >= 2);
     assert_eq!(choices(&fleet.gateway.metrics, "local"), 5);
 }
 
 #[actix_rt::test]
-async fn the_next_controller_is_asked_when_one_gives_no_answer() {
-    let server = echo().await;
-    let is_first = Arc::new(std::sync::Mutex::new(None::<usize>));
+async fn next_controller_is_asked_when_one_does_not_reply() {
+    let server = start_hello_server().await;
+    let first_asked = Arc::new(std::sync::Mutex::new(None::<usize>));
     let script = |index: usize| -> Script {
-        let is_first = is_first.clone();
+        let first_asked = first_asked.clone();
         Box::new(move |_| {
-            let first = *is_first.lock().expect("a lock").get_or_insert(index);
+            let first = *first_asked.lock().expect("a lock").get_or_insert(index);
             if first == index {
                 None
             } else {
@@ -178,118 +184,127 @@
         })
     };
     let scripts = vec![script(0), script(1), script(2)];
-    let fleet = StandInFleet::start(plain_route(), &server, scripts).await;
-    let answer = fleet.call("c1").await;
-    assert!(answer.ends_with("hello"), "{answer}");
-    assert_eq!(fleet.asked(), 2);
+    let fleet = MockFleet::start(plain_route(), &server, scripts).await;
+    let response = fleet.call("c1").await;
+    assert!(response.ends_with("hello"), "{response}");
+    assert_eq!(fleet.demand_count(), 2);
     assert_eq!(choices(&fleet.gateway.metrics, "scheduler"), 1);
 }
 
 #[actix_rt::test]
-async fn a_call_that_is_turned_away_is_sent_nowhere() {
-    let server = echo().await;
+async fn refused_call_is_not_sent_to_any_engine() {
+    let server = start_hello_server().await;
     let script: Script = Box::new(|_| {
         let verdict = Verdict::Refused {
             retry_after_ms: 1500,
         };
         scheduled(1, verdict)
     });
-    let fleet = StandInFleet::start(plain_route(), &server, vec![script]).await;
+    let fleet = MockFleet::start(plain_route(), &server, vec![script]).await;
     let refused = fleet.call("c1").await;
     assert_eq!(status(&refused), 503, "{refused}");
     assert!(refused.contains("retry-after: 1.500"), "{refused}");
     assert!(refused.ends_with("overloaded"), "{refused}");
-    assert_eq!(server.got().len(), 0);
+    assert_eq!(server.requests().len(), 0);
 }
 
-/// A call waits until the third answer, and a caller leaves while another waits.
+/// One call is granted with the third reply; a second one misses its deadline while queued.
 #[actix_rt::test]
-async fn each_number_that_was_asked_with_is_ended_once() {
-    let server = echo().await;
-    let mut asked = 0;
+async fn end_of_each_requested_call_number_is_reported_once() {
+    let server = start_hello_server().await;
+    let mut requests = 0;
     let script: Script = Box::new(move |demand| {
-        asked += 1;
-        let never = demand.time_left_ms < 5_000;
-        let waits = never || asked < 3;
+        requests += 1;
+        let misses_deadline = demand.time_left_ms < 5_000;
+        let waits = misses_deadline || requests < 3;
         scheduled(1, if waits { Verdict::Waiting } else { granted() })
     });
-    let fleet = StandInFleet::start(plain_route(), &server, vec![script]).await;
-    let answer = fleet.call("c1").await;
-    assert!(answer.ends_with("hello"), "{answer}");
-    let late = call(fleet.gateway.callers, "c2", "x-time: 200\r\n", "").await;
+    let fleet = MockFleet::start(plain_route(), &server, vec![script]).await;
+    let response = fleet.call("c1").await;
+    assert!(response.ends_with("hello"), "{response}");
+    let late = call(fleet.gateway.caller_addr, "c2", "x-time: 200\r\n", "").await;
     assert_eq!(status(&late), 503, "{late}");
     assert!(late.ends_with("too_late"), "{late}");
-    let got = &fleet.controllers[0].got;
-    until(async || got.lock().notes.len() == 2).await;
+    let received = &fleet.controllers[0].received;
+    wait_until(async || received.lock().notes.len() == 2).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let got = got.lock();
-    let numbers: BTreeSet<u64> = got.asked.iter().map(|demand| demand.number).collect();
-    let ended: Vec<u64> = got.notes.iter().map(|note| note.number).collect();
+    let received = received.lock();
+    let numbers: BTreeSet<u64> = received
+        .demands
+        .iter()
+        .map(|demand| demand.number)
+        .collect();
+    let ended: Vec<u64> = received.notes.iter().map(|note| note.number).collect();
     assert_eq!(numbers.into_iter().collect::<Vec<_>>(), ended);
-    assert!(matches!(got.notes[0].end, CallEnd::Whole { .. }));
-    assert_eq!(got.notes[1].end, CallEnd::Given);
-    assert_eq!(got.asked[0].number, got.asked[2].number);
-    assert!(got.asked[0].waited_ms <= got.asked[2].waited_ms);
+    assert!(matches!(received.notes[0].end, CallEnd::Whole { .. }));
+    assert_eq!(received.notes[1].end, CallEnd::Given);
+    assert_eq!(received.demands[0].number, received.demands[2].number);
+    assert!(received.demands[0].waited_ms <= received.demands[2].waited_ms);
 }
 
 #[actix_rt::test]
-async fn a_scheduler_that_began_anew_is_told_the_calls_at_engines() {
-    let server = StandIn::start(|got| {
-        let end = if got.header("x-call") == Some("long") {
+async fn restarted_scheduler_receives_the_running_calls() {
+    let server = MockServer::start(|request| {
+        let end = if request.header("x-call") == Some("long") {
             ""
         } else {
-            END
+            FINAL_CHUNK
         };
-        Act::Write(format!("{}{}{end}", stream_head(got), event(1)))
+        Action::Write(format!("{}{}{end}", stream_head(request), event(1)))
     })
     .await;
     let incarnation = Arc::new(AtomicU64::new(1));
-    let told = incarnation.clone();
-    let script: Script = Box::new(move |_| scheduled(told.load(Ordering::Relaxed), granted()));
-    let fleet = StandInFleet::start(stream_route(), &server, vec![script]).await;
-    let callers = fleet.gateway.callers;
-    let long = actix_rt::spawn(async move { call(callers, "long", "", "").await });
-    until(async || server.got().len() == 1).await;
-    let got = fleet.controllers[0].got.clone();
-    let number = got.lock().asked[0].number;
-    let told_before = got.lock().running.len();
+    let current = incarnation.clone();
+    let script: Script = Box::new(move |_| scheduled(current.load(Ordering::Relaxed), granted()));
+    let fleet = MockFleet::start(stream_route(), &server, vec![script]).await;
+    let caller_addr = fleet.gateway.caller_addr;
+    let long = actix_rt::spawn(async move { call(caller_addr, "long", "", "").await });
+    wait_until(async || server.requests().len() == 1).await;
+    let received = fleet.controllers[0].received.clone();
+    let number = received.lock().demands[0].number;
+    let reports_before = received.lock().running.len();
     incarnation.store(2, Ordering::Relaxed);
     let short = fleet.call("short").await;
     assert_eq!(status(&short), 200, "{short}");
-    until(async || got.lock().running.len() > told_before).await;
-    let running = got.lock().running[told_before].clone();
-    let is_named =
+    wait_until(async || received.lock().running.len() > reports_before).await;
+    let running = received.lock().running[reports_before].clone();
+    let is_long_call =
         |call: &RunningCall| call.number == number && call.engine == ServerKey::of("one");
-    assert!(running.iter().any(is_named), "{running:?}");
+    assert!(running.iter().any(is_long_call), "{running:?}");
     long.abort();
 }
 
 #[actix_rt::test]
-async fn an_engine_that_the_gateway_does_not_know_is_not_asked_for_again() {
-    let server = echo().await;
+async fn engine_unknown_to_the_gateway_is_excluded_from_the_next_request() {
+    let server = start_hello_server().await;
     let script: Script = Box::new(|demand| {
-        let stranger = ServerKey::of("stranger");
-        let is_excluded = demand.excluded.contains(&stranger);
+        let unknown = ServerKey::of("stranger");
+        let is_excluded = demand.excluded.contains(&unknown);
         let verdict = if is_excluded {
             granted()
         } else {
-            Verdict::Granted(stranger)
+            Verdict::Granted(unknown)
         };
         scheduled(1, verdict)
     });
-    let fleet = StandInFleet::start(plain_route(), &server, vec![script]).await;
-    let answer = fleet.call("c1").await;
-    assert!(answer.ends_with("hello"), "{answer}");
-    let got = &fleet.controllers[0].got;
-    until(async || got.lock().notes.len() == 2).await;
-    let got = got.lock();
-    assert_eq!(got.notes[0].number, got.asked[0].number);
-    assert_eq!(got.notes[0].end, CallEnd::Given);
-    assert!(matches!(got.notes[1].end, CallEnd::Whole { .. }));
+    let fleet = MockFleet::start(plain_route(), &server, vec![script]).await;
+    let response = fleet.call("c1").await;
+    assert!(response.ends_with("hello"), "{response}");
+    let received = &fleet.controllers[0].received;
+    wait_until(async || received.lock().notes.len() == 2).await;
+    let received = received.lock();
+    assert_eq!(received.notes[0].number, received.demands[0].number);
+    assert_eq!(received.notes[0].end, CallEnd::Given);
+    assert!(matches!(received.notes[1].end, CallEnd::Whole { .. }));
 }
 
-/// What a scheduler that grants the one engine is told of a call's tries, of which there are so many.
-async fn ends_of(route: Route, engine: &StandIn, tries: usize) -> (String, Vec<CallEnd>) {
+/// Makes one call with a scheduler that grants engine `one`; returns the response and the attempt ends reported to
+/// the scheduler, waiting for at least `attempts` of them.
+async fn reported_ends(
+    route: Route,
+    engine: &MockServer,
+    attempts: usize,
+) -> (String, Vec<CallEnd>) {
     let script: Script = Box::new(|demand| {
         let is_excluded = demand.excluded.contains(&ServerKey::of("one"));
         let verdict = if is_excluded {
@@ -299,23 +314,28 @@
         };
         scheduled(1, verdict)
     });
-    let fleet = StandInFleet::start(route, engine, vec![script]).await;
-    let answer = fleet.call("c1").await;
-    let got = &fleet.controllers[0].got;
-    until(async || got.lock().notes.len() >= tries).await;
+    let fleet = MockFleet::start(route, engine, vec![script]).await;
+    let response = fleet.call("c1").await;
+    let received = &fleet.controllers[0].received;
+    wait_until(async || received.lock().notes.len() >= attempts).await;
     tokio::time::sleep(Duration::from_millis(50)).await;
-    let notes = got.lock().notes.clone();
-    (answer, notes.iter().map(|note| note.end).collect())
+    let notes = received.lock().notes.clone();
+    (response, notes.iter().map(|note| note.end).collect())
 }
 
 #[actix_rt::test]
-async fn a_scheduler_is_told_how_many_tokens_a_whole_stream_had() {
-    let server = StandIn::start(|got| {
-        Act::Write(format!("{}{}{}{END}", stream_head(got), event(1), event(2)))
+async fn token_count_of_a_complete_stream_is_reported() {
+    let server = MockServer::start(|request| {
+        Action::Write(format!(
+            "{}{}{}{FINAL_CHUNK}",
+            stream_head(request),
+            event(1),
+            event(2)
+        ))
     })
     .await;
-    let (answer, ends) = ends_of(stream_route(), &server, 1).await;
-    assert_eq!(status(&answer), 200, "{answer}");
+    let (response, ends) = reported_ends(stream_route(), &server, 1).await;
+    assert_eq!(status(&response), 200, "{response}");
     let [
         CallEnd::Whole {
             generated,
@@ -334,62 +354,64 @@
 }
 
 #[actix_rt::test]
-async fn a_scheduler_is_told_that_an_engine_failed() {
+async fn engine_failure_is_reported() {
     for route in [plain_route(), stream_route()] {
-        let server =
-            StandIn::start(|got| Act::Write(answer(got, "").replace("200 OK", "500 Failed"))).await;
-        let (answer, ends) = ends_of(route, &server, 1).await;
-        assert_eq!(status(&answer), 500, "{answer}");
+        let server = MockServer::start(|request| {
+            Action::Write(response(request, "").replace("200 OK", "500 Failed"))
+        })
+        .await;
+        let (response, ends) = reported_ends(route, &server, 1).await;
+        assert_eq!(status(&response), 500, "{response}");
         assert_eq!(ends, [CallEnd::Failed]);
     }
 }
 
-/// An answer that is longer than is read whole goes to the caller in pieces: its end is told when it is there.
+/// A response too long to be buffered is streamed to the caller, and its end is reported when it is reached.
 #[actix_rt::test]
-async fn a_scheduler_is_told_the_end_of_an_answer_that_goes_on_in_pieces() {
+async fn end_of_an_unbuffered_response_is_reported() {
     const LONG: usize = 3 * 1024 * 1024;
     let cases = [
         ("200 OK", true, CallEnd::Given),
         ("500 Failed", true, CallEnd::Failed),
         ("200 OK", false, CallEnd::Broken),
     ];
-    for (head, is_whole, end) in cases {
-        let server = StandIn::start(move |got| {
-            let mut long = answer(got, &"~".repeat(LONG)).replace("200 OK", head);
-            if is_whole {
-                return Act::Write(long);
+    for (head, is_complete, end) in cases {
+        let server = MockServer::start(move |request| {
+            let mut long = response(request, &"~".repeat(LONG)).replace("200 OK", head);
+            if is_complete {
+                return Action::Write(long);
             }
             long.truncate(LONG / 2);
-            Act::WriteAndClose(long)
+            Action::WriteAndClose(long)
         })
         .await;
-        let (answer, ends) = ends_of(plain_route(), &server, 1).await;
-        assert!(answer.starts_with(&format!("HTTP/1.1 {}", &head[..3])));
-        assert_eq!(answer.ends_with(END), is_whole);
-        assert_eq!(ends, [end], "{head} {is_whole}");
+        let (response, ends) = reported_ends(plain_route(), &server, 1).await;
+        assert!(response.starts_with(&format!("HTTP/1.1 {}", &head[..3])));
+        assert_eq!(response.ends_with(FINAL_CHUNK), is_complete);
+        assert_eq!(ends, [end], "{head} {is_complete}");
     }
 }
 
 #[actix_rt::test]
-async fn a_scheduler_is_told_that_an_engine_refused_and_is_asked_again() {
-    let server = StandIn::start(|got| {
-        let refused = answer(got, "").replace("200 OK", "503 Full");
-        Act::Write(refused.replace("\r\n\r\n", "\r\nx-not-run: 1\r\n\r\n"))
+async fn engine_rejection_is_reported_and_another_grant_requested() {
+    let server = MockServer::start(|request| {
+        let refused = response(request, "").replace("200 OK", "503 Full");
+        Action::Write(refused.replace("\r\n\r\n", "\r\nx-not-run: 1\r\n\r\n"))
     })
     .await;
-    let (answer, ends) = ends_of(plain_route(), &server, 2).await;
-    assert_eq!(status(&answer), 503, "{answer}");
+    let (response, ends) = reported_ends(plain_route(), &server, 2).await;
+    assert_eq!(status(&response), 503, "{response}");
     assert_eq!(ends, [CallEnd::Refused, CallEnd::Given]);
-    assert_eq!(server.got().len(), 1);
+    assert_eq!(server.requests().len(), 1);
 }
 
-/// The broken try is over for the scheduler before the stream is taken up; the second try at the same engine is the
-/// gateway's own.
+/// The broken attempt is reported before the stream is resumed; the second attempt at the same engine is chosen by
+/// the gateway itself.
 #[actix_rt::test]
-async fn a_stream_that_is_taken_up_is_asked_for_under_a_new_number() {
-    let server = StandIn::start(|got| match got.header("x-last") {
-        None => Act::WriteAndClose(format!("{}{}", stream_head(got), event(1))),
-        Some(_) => Act::Write(format!("{}{}{END}", stream_head(got), event(2))),
+async fn resumed_stream_is_requested_under_a_new_call_number() {
+    let server = MockServer::start(|request| match request.header("x-last") {
+        None => Action::WriteAndClose(format!("{}{}", stream_head(request), event(1))),
+        Some(_) => Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(2))),
     })
     .await;
     let route = Route {
@@ -397,83 +419,90 @@
         max_attempts: 2,
         ..stream_route()
     };
-    let (answer, ends) = ends_of(route, &server, 2).await;
-    assert!(answer.contains("d1") && answer.ends_with(END), "{answer}");
+    let (response, ends) = reported_ends(route, &server, 2).await;
+    assert!(
+        response.contains("d1") && response.ends_with(FINAL_CHUNK),
+        "{response}"
+    );
     assert_eq!(ends, [CallEnd::Broken, CallEnd::Given]);
-    assert_eq!(server.got().len(), 2);
+    assert_eq!(server.requests().len(), 2);
 }
 
-/// A server that waited for the caller in vain is not to blame; what it had sent before still reaches the caller.
+/// A server that closes a connection because the caller does not read is not counted as failed, and what it had
+/// sent still reaches the caller.
 #[actix_rt::test]
-async fn an_engine_that_cuts_off_a_caller_that_does_not_read_is_not_blamed() {
-    const PIECE_BYTES: usize = 4096;
-    const PIECES: usize = 8192;
-    /// Longer than a pause of a caller that counts.
-    const WRITE_LIMIT: Duration = Duration::from_millis(1500);
-    let piece: Arc<str> = chunk(&format!("data: {}\n\n", "x".repeat(PIECE_BYTES))).into();
-    let server = StandIn::start(move |got| Act::RepeatAndCut {
-        head: stream_head(got),
-        piece: piece.clone(),
-        times: PIECES,
-        patience: WRITE_LIMIT,
+async fn engine_that_disconnects_a_stalled_caller_is_not_reported_as_failed() {
+    const CHUNK_BYTES: usize = 4096;
+    const CHUNKS: usize = 8192;
+    /// Longer than the pause after which the gateway considers a caller stalled.
+    const WRITE_TIMEOUT: Duration = Duration::from_millis(1500);
+    let chunk: Arc<str> = chunk(&format!("data: {}\n\n", "x".repeat(CHUNK_BYTES))).into();
+    let server = MockServer::start(move |request| Action::RepeatUntilStalled {
+        head: stream_head(request),
+        chunk: chunk.clone(),
+        times: CHUNKS,
+        write_timeout: WRITE_TIMEOUT,
     })
     .await;
     let script: Script = Box::new(|_| scheduled(1, granted()));
-    let fleet = StandInFleet::start(stream_route(), &server, vec![script]).await;
-    let mut caller = TcpStream::connect(fleet.gateway.callers)
+    let fleet = MockFleet::start(stream_route(), &server, vec![script]).await;
+    let mut caller = TcpStream::connect(fleet.gateway.caller_addr)
         .await
         .expect("connected");
     let request =
         "POST /a/x HTTP/1.1\r\nhost: a.example\r\nx-call: c1\r\ncontent-length: 0\r\n\r\n";
     caller.write_all(request.as_bytes()).await.expect("sent");
-    until(async || server.cut() == 1).await;
-    let got = &fleet.controllers[0].got;
-    assert_eq!(got.lock().notes.len(), 0);
-    let mut answer = Vec::new();
-    let _ = caller.read_to_end(&mut answer).await;
-    assert!(answer.len() > PIECE_BYTES && !answer.ends_with(END.as_bytes()));
-    until(async || !got.lock().notes.is_empty()).await;
-    let ends: Vec<CallEnd> = got.lock().notes.iter().map(|note| note.end).collect();
+    wait_until(async || server.stalled_writes() == 1).await;
+    let received = &fleet.controllers[0].received;
+    assert_eq!(received.lock().notes.len(), 0);
+    let mut response = Vec::new();
+    let _ = caller.read_to_end(&mut response).await;
+    assert!(response.len() > CHUNK_BYTES && !response.ends_with(FINAL_CHUNK.as_bytes()));
+    wait_until(async || !received.lock().notes.is_empty()).await;
+    let ends: Vec<CallEnd> = received.lock().notes.iter().map(|note| note.end).collect();
     assert_eq!(ends, [CallEnd::Given]);
 }
 
-/// What the gateway itself sees of errors is switched off, so that the scheduler alone keeps calls from the engine,
-/// whose quick answers make it look the least occupied.
+/// The gateway's own error handling is disabled, so that only the scheduler keeps calls away from the engine, whose
+/// fast errors make it look the least loaded.
 #[actix_rt::test]
-async fn an_engine_that_answers_streams_with_errors_is_granted_few_calls() {
+async fn engine_that_fails_streams_is_granted_few_calls() {
     const CALLS: usize = 400;
-    const MOST_FAILED: usize = CALLS / 20;
+    const MAX_FAILED: usize = CALLS / 20;
     let policy = Policy::without([
         Mechanism::Rests,
         Mechanism::ServerPace,
         Mechanism::SharedOutcomes,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
-    let failing =
-        StandIn::start(|got| Act::Write(answer(got, "broken").replace("200 OK", "500 Failed")))
-            .await;
-    let sound =
-        StandIn::start(|got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)))).await;
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("failing", &failing).await;
-    fleet.announce("sound", &sound).await;
-    // A scheduler that is late on a busy machine is passed over for a while: what the gateway chooses then by itself
-    // doesn't count.
+    let failing = MockServer::start(|request| {
+        Action::Write(response(request, "broken").replace("200 OK", "500 Failed"))
+    })
+    .await;
+    let healthy = MockServer::start(|request| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    })
+    .await;
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("failing", &failing).await;
+    fleet.add_server("sound", &healthy).await;
+    // On a loaded machine a late scheduler is skipped for its cooldown; calls that the gateway then assigns itself are
+    // not counted.
     let (mut granted, mut failed) = (0, 0);
-    until(async || {
+    wait_until(async || {
         let before = choices(&fleet.metrics, "scheduler");
-        let answer = call(fleet.callers, &format!("c{granted}"), "", "").await;
-        assert!(matches!(status(&answer), 200 | 500), "{answer}");
+        let response = call(fleet.caller_addr, &format!("c{granted}"), "", "").await;
+        assert!(matches!(status(&response), 200 | 500), "{response}");
         if choices(&fleet.metrics, "scheduler") > before {
             granted += 1;
-            failed += usize::from(status(&answer) == 500);
+            failed += usize::from(status(&response) == 500);
         }
         granted == CALLS
     })
     .await;
     eprintln!("{failed} of {CALLS} granted calls failed");
-    assert!(!failing.got().is_empty());
-    assert!(failed <= MOST_FAILED, "{failed} of {CALLS}");
+    assert!(!failing.requests().is_empty());
+    assert!(failed <= MAX_FAILED, "{failed} of {CALLS}");
 }
 
 struct NoHandler;
@@ -483,15 +512,15 @@
     fn on_request(&self, _: PeerIdentity, _: PeerRequest, _: ReplySender<FleetProtocol>) {}
 }
 
-/// A gateway's place in a fleet, from which its controller is asked directly.
-struct Asker {
+/// A peer at a gateway's address that sends scheduling requests to the controller directly.
+struct SchedulerClient {
     peers: Peers,
     controller: NodeId,
 }
 
-impl Asker {
+impl SchedulerClient {
     fn start(fleet: &Fleet) -> Self {
-        let [a, b, c, _] = fleet.hosts.octets();
+        let [a, b, c, _] = fleet.subnet.octets();
         let host = |host| node_at(Ipv4Addr::new(a, b, c, host));
         let controller = host(1);
         let handler = Arc::new(NoHandler);
@@ -504,17 +533,20 @@
         Self { peers, controller }
     }
 
-    async fn ask(&self, service: &str, number: u64) -> PeerReply {
+    async fn schedule(&self, service: &str, number: u64) -> PeerReply {
         let request = PeerRequest::Schedule {
             service: service.to_owned(),
             demand: demand(number),
         };
-        let reply = self.peers.request(self.controller, request, PATIENCE).await;
-        reply.expect("an answer")
+        let reply = self
+            .peers
+            .request(self.controller, request, REQUEST_TIMEOUT)
+            .await;
+        reply.expect("a reply")
     }
 
     async fn verdict(&self, number: u64) -> (u64, Verdict) {
-        match self.ask("s", number).await {
+        match self.schedule("s", number).await {
             PeerReply::Scheduled {
                 incarnation,
                 verdict,
@@ -524,7 +556,7 @@
         }
     }
 
-    fn tell(&self, message: PeerMessage) {
+    fn send(&self, message: PeerMessage) {
         self.peers.send(self.controller, message).expect("sent");
     }
 }
@@ -548,23 +580,27 @@
 }
 
 #[actix_rt::test]
-async fn a_call_waits_until_an_engine_has_room() {
+async fn call_waits_until_an_engine_has_a_free_slot() {
     let fleet = Fleet::start(GRACE).await;
-    let server = echo().await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    let asker = Asker::start(&fleet);
-    let (incarnation, first) = asker.verdict(1).await;
+    let server = start_hello_server().await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    let client = SchedulerClient::start(&fleet);
+    let (incarnation, first) = client.verdict(1).await;
     assert_eq!(first, granted());
     let mut number = 1;
-    while asker.verdict(number + 1).await == (incarnation, granted()) {
+    while client.verdict(number + 1).await == (incarnation, granted()) {
         number += 1;
-        assert!(number < 2 * SLOTS, "the engine gets calls without end");
+        assert!(
+            number < 2 * SLOTS,
+            "the scheduler grants more than {} calls",
+            2 * SLOTS
+        );
     }
     assert!(number >= SLOTS, "{number}");
     let waiting = number + 1;
-    let still = asker.verdict(waiting).await;
-    assert_eq!(still, (incarnation, Verdict::Waiting));
+    let queued = client.verdict(waiting).await;
+    assert_eq!(queued, (incarnation, Verdict::Waiting));
     let end = CallEnd::Whole {
         generated: 10,
         first_tokens: 1,
@@ -573,32 +609,32 @@
     };
     let notes = vec![CallNote { number: 1, end }];
     let service = "s".to_owned();
-    asker.tell(PeerMessage::PoolNotes { service, notes });
-    assert_eq!(asker.verdict(waiting).await, (incarnation, granted()));
-    let unknown = asker.ask("unknown", 100).await;
+    client.send(PeerMessage::PoolNotes { service, notes });
+    assert_eq!(client.verdict(waiting).await, (incarnation, granted()));
+    let unknown = client.schedule("unknown", 100).await;
     assert!(matches!(unknown, PeerReply::UnknownPool), "{unknown:?}");
 }
 
 #[actix_rt::test]
-async fn a_scheduler_counts_the_calls_that_it_is_told_of() {
+async fn scheduler_counts_reported_running_calls() {
     let fleet = Fleet::start(GRACE).await;
-    let server = echo().await;
-    fleet.route(vec![plain_route()]).await;
-    fleet.announce("one", &server).await;
-    let asker = Asker::start(&fleet);
+    let server = start_hello_server().await;
+    fleet.set_routes(vec![plain_route()]).await;
+    fleet.add_server("one", &server).await;
+    let client = SchedulerClient::start(&fleet);
     let running = |number| RunningCall {
         number,
         engine: ServerKey::of("one"),
         for_ms: 1_000,
     };
-    asker.tell(PeerMessage::PoolCalls {
+    client.send(PeerMessage::PoolCalls {
         service: "s".to_owned(),
         calls: (1..=2 * SLOTS).map(running).collect(),
     });
-    assert_eq!(asker.verdict(100).await.1, Verdict::Waiting);
-    asker.tell(PeerMessage::PoolCalls {
+    assert_eq!(client.verdict(100).await.1, Verdict::Waiting);
+    client.send(PeerMessage::PoolCalls {
         service: "s".to_owned(),
         calls: (2..SLOTS).map(running).collect(),
     });
-    until(async || asker.verdict(100).await.1 == granted()).await;
+    wait_until(async || client.verdict(100).await.1 == granted()).await;
 }
--- a/crates/courseshed-edge/tests/program_hints.rs
+++ b/crates/courseshed-edge/tests/program_hints.rs
@@ -1,29 +1,36 @@
-//! A program whose turns come in through one gateway after another goes on at the server that read its
-//! prompt, as the stores tell.
+//! Prompt location hints in the record stores: a program's turns reach the server with its cached prompt through
+//! any gateway.
 
 mod support;
 
 use std::time::Duration;
 
-use support::server::{self, Act, END, StandIn, event, stream_head};
-use support::{Fleet, call, status, stream_route, until};
+use support::server::{self, Action, FINAL_CHUNK, MockServer, event, stream_head};
+use support::{Fleet, call, status, stream_route, wait_until};
 
 const PROGRAMS: u32 = 12;
 const GRACE: Duration = Duration::from_secs(20);
 
-/// Found from the lines of a crowded day: half of the turns came through a gateway that didn't know
-/// where their prompts were, and were read anew.
+/// Guards against prompts being processed again because the turn came through a gateway that does not know where
+/// they are cached.
 #[actix_rt::test]
-async fn a_program_finds_its_prompt_through_any_gateway() {
+async fn program_reaches_its_cached_prompt_through_any_gateway() {
     let fleet = Fleet::start(GRACE).await;
-    let script =
-        |got: &support::server::Got| Act::Write(format!("{}{}{END}", stream_head(got), event(1)));
-    let servers = [StandIn::start(script).await, StandIn::start(script).await];
-    fleet.route(vec![stream_route()]).await;
-    fleet.announce("one", &servers[0]).await;
-    fleet.until_records().await;
-    let second = fleet.start_another_gateway().await;
-    until(async || status(&call(second.callers, server::PROBE, "", "").await) == 200).await;
+    let respond = |request: &support::server::ReceivedRequest| {
+        Action::Write(format!("{}{}{FINAL_CHUNK}", stream_head(request), event(1)))
+    };
+    let servers = [
+        MockServer::start(respond).await,
+        MockServer::start(respond).await,
+    ];
+    fleet.set_routes(vec![stream_route()]).await;
+    fleet.add_server("one", &servers[0]).await;
+    fleet.wait_for_record_stores().await;
+    let second = fleet.start_second_gateway().await;
+    wait_until(async || {
+        status(&call(second.caller_addr, server::PROBE_CALL_ID, "", "").await) == 200
+    })
+    .await;
     let headers = |program: u32, tokens: u32| {
         format!(
             "x-program: p{program}\r\nx-budget: 1000\r\nx-most: 10\r\nx-prompt: {}:{tokens}\r\n",
@@ -32,22 +39,22 @@
     };
     for program in 0..PROGRAMS {
         let id = format!("a{program}");
-        let first = call(fleet.callers, &id, &headers(program, 9000), "").await;
+        let first = call(fleet.caller_addr, &id, &headers(program, 9000), "").await;
         assert_eq!(status(&first), 200, "{first}");
     }
-    // Now there is a second server, which about half of the prompts would go to.
-    fleet.announce("two", &servers[1]).await;
-    let seen = servers[1].probes();
-    until(async || {
-        call(second.callers, server::PROBE, "", "").await;
-        servers[1].probes() > seen
+    // Without hints, about half of the prompts would go to the second server.
+    fleet.add_server("two", &servers[1]).await;
+    let probes_before = servers[1].probes();
+    wait_until(async || {
+        call(second.caller_addr, server::PROBE_CALL_ID, "", "").await;
+        servers[1].probes() > probes_before
     })
     .await;
     for program in 0..PROGRAMS {
         let id = format!("b{program}");
-        let next = call(second.callers, &id, &headers(program, 9500), "").await;
+        let next = call(second.caller_addr, &id, &headers(program, 9500), "").await;
         assert_eq!(status(&next), 200, "{next}");
     }
-    assert_eq!(servers[0].got().len(), 2 * PROGRAMS as usize);
-    assert_eq!(servers[1].got().len(), 0);
+    assert_eq!(servers[0].requests().len(), 2 * PROGRAMS as usize);
+    assert_eq!(servers[1].requests().len(), 0);
 }
--- a/crates/courseshed-edge/tests/support/mod.rs
+++ b/crates/courseshed-edge/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet inside the test process: controller, store, gateway, and a stand-in server.
+//! Test harness: an in-process fleet of a controller, a store and a gateway, with mock upstream servers.
 
 #![allow(dead_code)]
 
@@ -32,43 +32,43 @@
 
 static NEXT_FLEET: AtomicU8 = AtomicU8::new(1);
 
-/// How tenants' requests are counted in tests.
+/// Request quota settings of test gateways and controllers.
 pub const QUOTA: QuotaTerms = QuotaTerms {
     window: Duration::from_secs(5),
     overshoot: 0.1,
     slack: 0.0,
 };
 
-/// Calls that a server of a test runs at once, if the test doesn't say.
+/// Default number of concurrent calls per server.
 pub const SLOTS: u32 = 4;
 
-/// More memory than the gateway of a test needs, in bytes.
+/// Machine memory in bytes, large enough that the gateway's memory budget is never exhausted.
 pub const AMPLE_MEMORY: u64 = 500_000_000;
 
-/// More than the store of a test needs.
+/// Store limits that no test reaches by default.
 pub const AMPLE_STORE: StoreLimits = StoreLimits {
     memory_bytes: 128 * 1024 * 1024,
     disk_bytes: None,
     segment_bytes: 4 * 1024 * 1024,
 };
 
-/// A fleet of one controller, one store and one gateway, on loopback addresses of its own.
+/// A fleet of one controller, one store and one gateway on its own loopback subnet.
 pub struct Fleet {
     pub controller: ControllerHandle,
-    pub callers: SocketAddr,
-    pub readiness: SocketAddr,
+    pub caller_addr: SocketAddr,
+    pub readiness_addr: SocketAddr,
     pub metrics: Arc<Metrics>,
     pub disk_faults: FaultSwitch,
     pub addresses: PeerAddresses,
-    pub hosts: Ipv4Addr,
+    pub subnet: Ipv4Addr,
     stop: Option<oneshot::Sender<()>>,
     _folder: TempDir,
 }
 
 /// A running gateway.
 pub struct Gateway {
-    pub callers: SocketAddr,
-    pub readiness: SocketAddr,
+    pub caller_addr: SocketAddr,
+    pub readiness_addr: SocketAddr,
     pub metrics: Arc<Metrics>,
     pub stop: oneshot::Sender<()>,
 }
@@ -82,16 +82,16 @@
     revocation: Option<Duration>,
     memory: HeldTerms,
 ) -> Gateway {
-    let callers = SocketAddr::from((ip, addresses.first_port + 8));
-    let readiness = SocketAddr::from((ip, addresses.first_port + 9));
+    let caller_addr = SocketAddr::from((ip, addresses.first_port + 8));
+    let readiness_addr = SocketAddr::from((ip, addresses.first_port + 9));
     let (stop, stopped) = oneshot::channel::<()>();
     let metrics = Arc::new(Metrics::new());
     let settings = GatewaySettings {
         node: node_at(ip),
         zone: "a".to_owned(),
         zones: Arc::default(),
-        callers,
-        readiness,
+        callers: caller_addr,
+        readiness: readiness_addr,
         seeds: Box::new(move || vec![node_at(seed)]),
         addresses,
         metrics: metrics.clone(),
@@ -112,14 +112,14 @@
             .expect("a gateway");
     });
     Gateway {
-        callers,
-        readiness,
+        caller_addr,
+        readiness_addr,
         metrics,
         stop,
     }
 }
 
-/// How the controller of a test runs, at the first start of its fleet.
+/// Settings of a test controller at the first start of its fleet.
 pub fn controller_settings(
     node: NodeId,
     folder: &Path,
@@ -145,15 +145,15 @@
         Self::start_with(grace, Policy::default()).await
     }
 
-    /// Starts a fleet whose gateway decides by a policy.
+    /// Starts a fleet whose gateway uses the given policy.
     pub async fn start_with(grace: Duration, policy: Policy) -> Self {
         Self::start_with_store(grace, policy, AMPLE_STORE).await
     }
 
-    /// Starts a fleet in which a key is out of use everywhere that long after it was taken away.
-    pub async fn start_strict(grace: Duration, revocation: Duration) -> Self {
+    /// Starts a fleet that enforces key revocation within the given time.
+    pub async fn start_with_revocation(grace: Duration, revocation: Duration) -> Self {
         let memory = HeldTerms::of_machine(AMPLE_MEMORY);
-        Self::start_as(
+        Self::start_with_settings(
             grace,
             Policy::default(),
             AMPLE_STORE,
@@ -163,22 +163,22 @@
         .await
     }
 
-    /// Starts a fleet whose store may use little of its machine.
+    /// Starts a fleet whose store has the given limits.
     pub async fn start_with_store(
         grace: Duration,
         policy: Policy,
         store_limits: StoreLimits,
     ) -> Self {
         let memory = HeldTerms::of_machine(AMPLE_MEMORY);
-        Self::start_as(grace, policy, store_limits, None, memory).await
+        Self::start_with_settings(grace, policy, store_limits, None, memory).await
     }
 
-    /// Starts a fleet whose gateway may hold so much for slow readers.
-    pub async fn start_holding(grace: Duration, memory: HeldTerms) -> Self {
-        Self::start_as(grace, Policy::default(), AMPLE_STORE, None, memory).await
+    /// Starts a fleet whose gateway has the given memory budget.
+    pub async fn start_with_memory(grace: Duration, memory: HeldTerms) -> Self {
+        Self::start_with_settings(grace, Policy::default(), AMPLE_STORE, None, memory).await
     }
 
-    async fn start_as(
+    async fn start_with_settings(
         grace: Duration,
         policy: Policy,
         store_limits: StoreLimits,
@@ -219,68 +219,84 @@
         let gateway = start_gateway(ip(3), ip(1), addresses, grace, policy, revocation, memory);
         Self {
             controller,
-            callers: gateway.callers,
-            readiness: gateway.readiness,
+            caller_addr: gateway.caller_addr,
+            readiness_addr: gateway.readiness_addr,
             metrics: gateway.metrics,
             disk_faults,
             addresses,
-            hosts: ip(0),
+            subnet: ip(0),
             stop: Some(gateway.stop),
             _folder: folder,
         }
     }
 
-    /// Puts routes in force and waits until the gateway serves.
-    pub async fn route(&self, routes: Vec<Route>) {
-        self.route_with_slots(routes, SLOTS).await;
+    /// Publishes routes and waits until the gateway is ready.
+    pub async fn set_routes(&self, routes: Vec<Route>) {
+        self.set_routes_with_slots(routes, SLOTS).await;
     }
 
-    /// The same for a service whose engines run so many calls at once.
-    pub async fn route_with_slots(&self, routes: Vec<Route>, slots: u32) {
+    /// Like `set_routes`, with `slots` concurrent calls per engine.
+    pub async fn set_routes_with_slots(&self, routes: Vec<Route>, slots: u32) {
         let mut table = table(1, routes, None);
         for service in &mut table.table.services {
             service.engine.as_mut().expect("an engine").slots = slots;
         }
-        self.put_table(table).await;
-        until(async || status(&get(self.readiness, "/").await) == 200).await;
+        self.publish_table(table).await;
+        wait_until(async || status(&get(self.readiness_addr, "/").await) == 200).await;
     }
 
-    /// Puts a version of the routing table in force.
-    pub async fn put(&self, version: u64, routes: Vec<Route>, tenants: Option<Vec<Tenant>>) {
-        self.put_table(table(version, routes, tenants)).await;
+    /// Publishes a version of the routing table.
+    pub async fn publish_routing(
+        &self,
+        version: u64,
+        routes: Vec<Route>,
+        tenants: Option<Vec<Tenant>>,
+    ) {
+        self.publish_table(table(version, routes, tenants)).await;
     }
 
-    async fn put_table(&self, table: VersionedTable) {
-        until(async || {
+    async fn publish_table(&self, table: VersionedTable) {
+        wait_until(async || {
             let done = self.controller.replace_routing(table.clone(), Bytes::new());
             done.await.is_ok()
         })
         .await;
     }
 
-    /// Waits until the stores of the records can be reached through a streaming route.
-    pub async fn until_records(&self) {
-        until(async || {
-            let unknown = call(self.callers, server::PROBE, "x-previous: never\r\n", "").await;
-            status(&unknown) == 404
+    /// Waits until the record stores can be reached through a streaming route.
+    pub async fn wait_for_record_stores(&self) {
+        wait_until(async || {
+            let response = call(
+                self.caller_addr,
+                server::PROBE_CALL_ID,
+                "x-previous: never\r\n",
+                "",
+            )
+            .await;
+            status(&response) == 404
         })
         .await;
     }
 
-    /// Announces a stand-in server and waits until the gateway sends there.
-    pub async fn announce(&self, id: &str, stand_in: &server::StandIn) {
-        self.announce_with_slots(id, stand_in, SLOTS).await;
+    /// Registers a mock server and waits until the gateway routes calls to it.
+    pub async fn add_server(&self, id: &str, mock_server: &server::MockServer) {
+        self.add_server_with_slots(id, mock_server, SLOTS).await;
     }
 
-    /// The same for a server that runs so many calls at once.
-    pub async fn announce_with_slots(&self, id: &str, stand_in: &server::StandIn, slots: u32) {
+    /// Like `add_server`, with `slots` concurrent calls.
+    pub async fn add_server_with_slots(
+        &self,
+        id: &str,
+        mock_server: &server::MockServer,
+        slots: u32,
+    ) {
         let server = Server {
             id: id.to_owned(),
             name: String::new(),
             born_ms: None,
             cold_ms: 0,
             service: "s".to_owned(),
-            address: stand_in.address,
+            address: mock_server.address,
             zone: "a".to_owned(),
             slots,
             state: ServerState::Ready,
@@ -289,17 +305,17 @@
             server,
             sequence: 1,
         };
-        until(async || self.controller.announce(registration.clone()).await.is_ok()).await;
-        until(async || {
-            call(self.callers, server::PROBE, "", "").await;
-            stand_in.probes() > 0
+        wait_until(async || self.controller.announce(registration.clone()).await.is_ok()).await;
+        wait_until(async || {
+            call(self.caller_addr, server::PROBE_CALL_ID, "", "").await;
+            mock_server.probes() > 0
         })
         .await;
     }
 
-    /// Starts a second gateway, and waits until it serves.
-    pub async fn start_another_gateway(&self) -> Gateway {
-        let [a, b, c, _] = self.hosts.octets();
+    /// Starts a second gateway and waits until it is ready.
+    pub async fn start_second_gateway(&self) -> Gateway {
+        let [a, b, c, _] = self.subnet.octets();
         let host = |host| Ipv4Addr::new(a, b, c, host);
         let grace = Duration::from_secs(20);
         let policy = Policy::default();
@@ -312,20 +328,20 @@
             None,
             HeldTerms::of_machine(AMPLE_MEMORY),
         );
-        until(async || status(&get(gateway.readiness, "/").await) == 200).await;
+        wait_until(async || status(&get(gateway.readiness_addr, "/").await) == 200).await;
         gateway
     }
 
-    /// Begins a planned stop of the gateway.
+    /// Starts a graceful shutdown of the gateway and waits until it reports not ready.
     pub async fn stop(&mut self) {
         if let Some(stop) = self.stop.take() {
             let _ = stop.send(());
         }
-        until(async || status(&get(self.readiness, "/").await) == 503).await;
+        wait_until(async || status(&get(self.readiness_addr, "/").await) == 503).await;
     }
 }
 
-/// A routing table with one service of engines.
+/// A routing table with one engine service, `s`.
 pub fn table(version: u64, routes: Vec<Route>, tenants: Option<Vec<Tenant>>) -> VersionedTable {
     let service = Service {
         cold_per_s: None,
@@ -348,7 +364,7 @@
     }
 }
 
-/// A route of `/a/` to the service, without anything special.
+/// An at-most-once route from `/a/` to service `s`.
 pub fn plain_route() -> Route {
     Route {
         name: "r".to_owned(),
@@ -372,7 +388,7 @@
     }
 }
 
-/// A streaming route of `/a/`.
+/// A streaming route from `/a/` to service `s`.
 pub fn stream_route() -> Route {
     Route {
         kind: CallKind::Stream,
@@ -381,7 +397,7 @@
     }
 }
 
-/// Sends one request on a new connection and reads all that comes until the gateway closes it.
+/// Sends one request on a new connection and reads until the gateway closes it.
 pub async fn call(address: SocketAddr, id: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     let request = format!(
@@ -401,42 +417,43 @@
         return String::new();
     };
     stream.write_all(request.as_bytes()).await.expect("sent");
-    let mut answer = Vec::new();
-    let _ = stream.read_to_end(&mut answer).await;
-    String::from_utf8(answer).expect("text")
+    let mut response = Vec::new();
+    let _ = stream.read_to_end(&mut response).await;
+    String::from_utf8(response).expect("text")
 }
 
-pub fn status(answer: &str) -> u16 {
-    let code = answer.split(' ').nth(1);
+/// The status code of a response, or 0 if there is none.
+pub fn status(response: &str) -> u16 {
+    let code = response.split(' ').nth(1);
     code.and_then(|code| code.parse().ok()).unwrap_or(0)
 }
 
-/// Waits until something holds.
-pub async fn until(mut holds: impl AsyncFnMut() -> bool) {
+/// Polls a condition until it is true, and panics after about 30 s.
+pub async fn wait_until(mut condition: impl AsyncFnMut() -> bool) {
     for _ in 0..3000 {
-        if holds().await {
+        if condition().await {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    panic!("it never held");
+    panic!("condition not met within 30 s");
 }
 
-/// A network of loopback addresses that no other fleet of this process has.
+/// A loopback subnet that no other fleet of this process uses.
 pub fn new_subnet() -> Ipv4Addr {
     let subnet = NEXT_FLEET.fetch_add(1, Ordering::Relaxed);
     let process = (std::process::id() % 200) as u8 + 20;
     Ipv4Addr::new(127, process, subnet, 0)
 }
 
-/// The first of a row of ports that are free on an address.
+/// A free port on the address, low enough that the ports following it are valid too.
 pub fn free_port(ip: Ipv4Addr) -> u16 {
     let listener = TcpListener::bind((ip, 0)).expect("a port");
     let port = listener.local_addr().expect("an address").port();
     port.min(u16::MAX - 20)
 }
 
-/// A tenant with one key, and so many requests a second if they are limited.
+/// A tenant with one key and an optional limit on requests per second.
 pub fn tenant(name: &str, key: &str, rate_per_s: Option<f64>) -> Tenant {
     Tenant {
         name: name.to_owned(),
--- a/crates/courseshed-edge/tests/support/scheduler.rs
+++ b/crates/courseshed-edge/tests/support/scheduler.rs
@@ -1,7 +1,8 @@
-//! A stand-in controller that shows one routing table and answers for the scheduler as a script says.
+//! A mock controller that publishes a fixed routing table and scripted scheduler replies.
 
 use std::net::Ipv4Addr;
 use std::sync::Arc;
+use std::time::Duration;
 
 use courseshed_edge::peers::{Peers, start_peers};
 use courseshed_edge::protocol::{
@@ -14,9 +15,9 @@
 use courseshed_types::NodeId;
 use parking_lot::Mutex;
 
-/// What the fleet looks like to whoever follows a stand-in controller.
+/// The fleet state that a mock controller publishes to its followers.
 #[derive(Clone)]
-pub struct Shown {
+pub struct FleetSnapshot {
     pub table: Arc<VersionedTable>,
     pub servers: Vec<Server>,
     pub controllers: Vec<NodeId>,
@@ -24,89 +25,95 @@
 
 type Script = Box<dyn FnMut(&CallDemand) -> Option<PeerReply> + Send>;
 
-/// What a stand-in controller got.
+/// What a mock controller has received.
 #[derive(Default)]
-pub struct Got {
-    pub asked: Vec<CallDemand>,
+pub struct Received {
+    pub demands: Vec<CallDemand>,
     pub notes: Vec<CallNote>,
     pub running: Vec<Vec<RunningCall>>,
 }
 
-struct Answers {
-    shown: Shown,
+struct ScriptedHandler {
+    snapshot: FleetSnapshot,
     script: Mutex<Script>,
-    got: Arc<Mutex<Got>>,
-    /// Senders of requests that are never answered.
+    received: Arc<Mutex<Received>>,
+    /// Reply senders of requests that are left unanswered, kept open until the controller is dropped.
     unanswered: Mutex<Vec<ReplySender<FleetProtocol>>>,
 }
 
-/// A stand-in controller. It ends when it is dropped.
-pub struct StandInController {
-    pub got: Arc<Mutex<Got>>,
+/// A mock controller, stopped when dropped.
+pub struct MockController {
+    pub received: Arc<Mutex<Received>>,
     _peers: Peers,
 }
 
-impl StandInController {
-    /// Starts one that answers as `script` says; none is no answer at all.
+impl MockController {
+    /// Starts a controller that replies with the result of `script`; `None` sends no reply.
     pub fn start(
         ip: Ipv4Addr,
         addresses: PeerAddresses,
-        shown: Shown,
+        snapshot: FleetSnapshot,
         script: impl FnMut(&CallDemand) -> Option<PeerReply> + Send + 'static,
     ) -> Self {
-        let got: Arc<Mutex<Got>> = Arc::default();
-        let answers = Answers {
-            shown,
+        let received: Arc<Mutex<Received>> = Arc::default();
+        let handler = ScriptedHandler {
+            snapshot,
             script: Mutex::new(Box::new(script)),
-            got: got.clone(),
+            received: received.clone(),
             unanswered: Mutex::default(),
         };
         let peers = start_peers(
             node_at(ip),
             addresses,
             PeerPort::Controller,
-            Arc::new(answers),
+            Arc::new(handler),
         );
         Self {
-            got,
+            received,
             _peers: peers.expect("a port"),
         }
     }
 }
 
-impl Answers {
+impl ScriptedHandler {
     fn update(&self, known: Known) -> PeerReply {
-        let is_new = known.routing.is_none();
+        let is_initial = known.routing.is_none();
         let servers = ServerChanges {
             is_whole: true,
-            changed: self.shown.servers.iter().cloned().map(Arc::new).collect(),
+            changed: self
+                .snapshot
+                .servers
+                .iter()
+                .cloned()
+                .map(Arc::new)
+                .collect(),
             removed: Vec::new(),
             ..ServerChanges::default()
         };
         PeerReply::Update {
             update: Box::new(FleetUpdate {
                 known: Known {
-                    routing: Some(self.shown.table.version),
+                    routing: Some(self.snapshot.table.version),
                     servers: 1,
                     ..Known::default()
                 },
-                routing: is_new.then(|| self.shown.table.clone()),
-                servers: is_new.then_some(servers),
+                routing: is_initial.then(|| self.snapshot.table.clone()),
+                servers: is_initial.then_some(servers),
                 ..FleetUpdate::default()
             }),
-            controllers: self.shown.controllers.clone(),
+            controllers: self.snapshot.controllers.clone(),
             is_fresh: true,
             proof: None,
         }
     }
 }
 
-impl Handler<FleetProtocol> for Answers {
+impl Handler<FleetProtocol> for ScriptedHandler {
     fn on_message(&self, _: PeerIdentity, message: PeerMessage) {
-        let mut got = self.got.lock();
+        let mut received = self.received.lock();
         match message {
-            PeerMessage::PoolNotes { notes, .. } => got.notes.extend(notes),
-            PeerMessage::PoolCalls { calls, .. } => got.running.push(calls),
+            PeerMessage::PoolNotes { notes, .. } => received.notes.extend(notes),
+            PeerMessage::PoolCalls { calls, .. } => received.running.push(calls),
             _ => {}
         }
     }
@@ -114,23 +121,23 @@
     fn on_request(&self, _: PeerIdentity, request: PeerRequest, reply: ReplySender<FleetProtocol>) {
         let answer = match request {
             PeerRequest::Follow { known, hold_ms, .. } => {
-                let answer = self.update(known);
-                let hold = std::time::Duration::from_millis(hold_ms);
+                let update = self.update(known);
+                let hold = Duration::from_millis(hold_ms);
                 let hold = if known.routing.is_none() {
-                    std::time::Duration::ZERO
+                    Duration::ZERO
                 } else {
                     hold
                 };
                 tokio::spawn(async move {
                     tokio::time::sleep(hold).await;
-                    reply.send(answer);
+                    reply.send(update);
                 });
                 return;
             }
             PeerRequest::Schedule { demand, .. } => {
-                let answer = (self.script.lock())(&demand);
-                self.got.lock().asked.push(demand);
-                answer
+                let scripted = (self.script.lock())(&demand);
+                self.received.lock().demands.push(demand);
+                scripted
             }
             _ => None,
         };
--- a/crates/courseshed-edge/tests/support/server.rs
+++ b/crates/courseshed-edge/tests/support/server.rs
@@ -1,4 +1,4 @@
-//! A stand-in server that answers each request as a script says.
+//! A mock upstream server whose responses are scripted by the test.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,20 +9,20 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// The id of calls that only look whether the gateway sends here; the script doesn't see them.
-pub const PROBE: &str = "probe";
+/// Call id of probes that check whether the gateway routes here; they bypass the script.
+pub const PROBE_CALL_ID: &str = "probe";
 
-/// How the ids of calls begin whose bodies the server never reads.
-pub const NEVER_READ: &str = "unread";
+/// Prefix of the ids of calls whose body the server never reads.
+pub const UNREAD_CALL_PREFIX: &str = "unread";
 
-/// A request as the server got it.
+/// A request as received by the server.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Got {
+pub struct ReceivedRequest {
     pub head: String,
     pub body: String,
 }
 
-impl Got {
+impl ReceivedRequest {
     pub fn header(&self, name: &str) -> Option<&str> {
         let prefix = format!("{name}: ");
         self.head
@@ -31,59 +31,59 @@
     }
 }
 
-/// What the server does with a request.
+/// How the server handles a request.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// Writes these bytes and keeps the connection.
+pub enum Action {
+    /// Writes these bytes and keeps the connection open.
     Write(String),
     /// Writes these bytes and closes the connection.
     WriteAndClose(String),
-    /// Writes a head, and the same piece behind it so many times, as fast as it is taken.
+    /// Writes a head and then the same chunk `times` times, as fast as the peer reads.
     Repeat {
         head: String,
-        piece: Arc<str>,
+        chunk: Arc<str>,
         times: usize,
     },
-    /// The same, and closes the connection once nothing was taken for so long.
-    RepeatAndCut {
+    /// Like `Repeat`, but closes the connection once a write stalls for `write_timeout`.
+    RepeatUntilStalled {
         head: String,
-        piece: Arc<str>,
+        chunk: Arc<str>,
         times: usize,
-        patience: Duration,
+        write_timeout: Duration,
     },
-    /// Says nothing, takes no more connections, and closes this one.
-    End,
+    /// Sends no response, stops accepting connections and closes this one.
+    Shutdown,
 }
 
-type Script = Box<dyn FnMut(&Got) -> Act + Send>;
+type Script = Box<dyn FnMut(&ReceivedRequest) -> Action + Send>;
 
-/// A stand-in server.
+/// A mock upstream server.
 #[derive(Clone)]
-pub struct StandIn {
+pub struct MockServer {
     pub address: SocketAddr,
-    got: Arc<Mutex<Vec<Got>>>,
+    requests: Arc<Mutex<Vec<ReceivedRequest>>>,
     connections: Arc<Mutex<usize>>,
     probes: Arc<Mutex<usize>>,
-    cut: Arc<Mutex<usize>>,
-    ended: Arc<watch::Sender<bool>>,
+    stalled_writes: Arc<Mutex<usize>>,
+    shutdown: Arc<watch::Sender<bool>>,
     is_closed: Arc<watch::Sender<bool>>,
 }
 
-impl StandIn {
-    pub async fn start(script: impl FnMut(&Got) -> Act + Send + 'static) -> Self {
+impl MockServer {
+    pub async fn start(script: impl FnMut(&ReceivedRequest) -> Action + Send + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let server = Self {
             address: listener.local_addr().expect("an address"),
-            got: Arc::default(),
+            requests: Arc::default(),
             connections: Arc::default(),
             probes: Arc::default(),
-            cut: Arc::default(),
-            ended: Arc::new(watch::channel(false).0),
+            stalled_writes: Arc::default(),
+            shutdown: Arc::new(watch::channel(false).0),
             is_closed: Arc::new(watch::channel(false).0),
         };
         let script: Arc<Mutex<Script>> = Arc::new(Mutex::new(Box::new(script)));
         let serving = server.clone();
-        let mut ended = server.ended.subscribe();
+        let mut shutdown = server.shutdown.subscribe();
         tokio::spawn(async move {
             let accept = async {
                 while let Ok((stream, _)) = listener.accept().await {
@@ -93,7 +93,7 @@
             };
             tokio::select! {
                 () = accept => {}
-                _ = ended.wait_for(|ended| *ended) => {}
+                _ = shutdown.wait_for(|is_shutdown| *is_shutdown) => {}
             }
             drop(listener);
             serving.is_closed.send_replace(true);
@@ -101,8 +101,8 @@
         server
     }
 
-    pub fn got(&self) -> Vec<Got> {
-        self.got.lock().clone()
+    pub fn requests(&self) -> Vec<ReceivedRequest> {
+        self.requests.lock().clone()
     }
 
     pub fn connections(&self) -> usize {
@@ -113,54 +113,54 @@
         *self.probes.lock()
     }
 
-    /// Connections that were cut off since nothing was taken.
-    pub fn cut(&self) -> usize {
-        *self.cut.lock()
+    /// Number of connections closed because a write stalled.
+    pub fn stalled_writes(&self) -> usize {
+        *self.stalled_writes.lock()
     }
 
     async fn serve(self, mut stream: TcpStream, script: Arc<Mutex<Script>>) {
         let mut buffer = Vec::new();
-        while let Some(got) = read_request(&mut stream, &mut buffer).await {
-            if got.header("x-call") == Some(PROBE) {
+        while let Some(request) = read_request(&mut stream, &mut buffer).await {
+            if request.header("x-call") == Some(PROBE_CALL_ID) {
                 *self.probes.lock() += 1;
-                let _ = stream.write_all(answer(&got, "").as_bytes()).await;
+                let _ = stream.write_all(response(&request, "").as_bytes()).await;
                 continue;
             }
-            let act = script.lock()(&got);
-            self.got.lock().push(got);
-            match act {
-                Act::Write(text) => {
+            let action = script.lock()(&request);
+            self.requests.lock().push(request);
+            match action {
+                Action::Write(text) => {
                     let _ = stream.write_all(text.as_bytes()).await;
                 }
-                Act::WriteAndClose(text) => {
+                Action::WriteAndClose(text) => {
                     let _ = stream.write_all(text.as_bytes()).await;
                     return;
                 }
-                Act::Repeat { head, piece, times } => {
-                    if write_repeated(&mut stream, &head, &piece, times)
+                Action::Repeat { head, chunk, times } => {
+                    if write_repeated(&mut stream, &head, &chunk, times)
                         .await
                         .is_err()
                     {
                         return;
                     }
                 }
-                Act::RepeatAndCut {
+                Action::RepeatUntilStalled {
                     head,
-                    piece,
+                    chunk,
                     times,
-                    patience,
+                    write_timeout,
                 } => {
                     let _ = stream.write_all(head.as_bytes()).await;
                     for _ in 0..times {
-                        let written = stream.write_all(piece.as_bytes());
-                        if tokio::time::timeout(patience, written).await.is_err() {
-                            *self.cut.lock() += 1;
+                        let write = stream.write_all(chunk.as_bytes());
+                        if tokio::time::timeout(write_timeout, write).await.is_err() {
+                            *self.stalled_writes.lock() += 1;
                             return;
                         }
                     }
                 }
-                Act::End => {
-                    self.ended.send_replace(true);
+                Action::Shutdown => {
+                    self.shutdown.send_replace(true);
                     let mut is_closed = self.is_closed.subscribe();
                     let _ = is_closed.wait_for(|closed| *closed).await;
                     return;
@@ -173,21 +173,21 @@
 async fn write_repeated(
     stream: &mut TcpStream,
     head: &str,
-    piece: &str,
+    chunk: &str,
     times: usize,
 ) -> std::io::Result<()> {
     stream.write_all(head.as_bytes()).await?;
     for _ in 0..times {
-        stream.write_all(piece.as_bytes()).await?;
+        stream.write_all(chunk.as_bytes()).await?;
     }
-    stream.write_all(END.as_bytes()).await
+    stream.write_all(FINAL_CHUNK.as_bytes()).await
 }
 
-async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<Got> {
+async fn read_request(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> Option<ReceivedRequest> {
     loop {
         let text = String::from_utf8_lossy(buffer).into_owned();
         if let Some((head, rest)) = text.split_once("\r\n\r\n") {
-            if head.contains(&format!("x-call: {NEVER_READ}")) {
+            if head.contains(&format!("x-call: {UNREAD_CALL_PREFIX}")) {
                 std::future::pending::<()>().await;
             }
             let length = head
@@ -196,12 +196,12 @@
                 .and_then(|length| length.parse().ok())
                 .unwrap_or(0);
             if rest.len() >= length {
-                let got = Got {
+                let request = ReceivedRequest {
                     head: head.to_owned(),
                     body: rest[..length].to_owned(),
                 };
                 buffer.drain(..head.len() + 4 + length);
-                return Some(got);
+                return Some(request);
             }
         }
         let mut bytes = [0; 4096];
@@ -214,30 +214,30 @@
     }
 }
 
-/// A whole answer to a request.
-pub fn answer(got: &Got, body: &str) -> String {
-    let id = got.header("x-call").unwrap_or("");
+/// A complete response to a request.
+pub fn response(request: &ReceivedRequest, body: &str) -> String {
+    let id = request.header("x-call").unwrap_or("");
     let length = body.len();
     format!("HTTP/1.1 200 OK\r\nx-call: {id}\r\ncontent-length: {length}\r\n\r\n{body}")
 }
 
-/// The head of a stream of events.
-pub fn stream_head(got: &Got) -> String {
-    let id = got.header("x-call").unwrap_or("");
+/// The response head of an event stream.
+pub fn stream_head(request: &ReceivedRequest) -> String {
+    let id = request.header("x-call").unwrap_or("");
     format!(
         "HTTP/1.1 200 OK\r\nx-call: {id}\r\ncontent-type: text/event-stream\r\ntransfer-encoding: chunked\r\n\r\n"
     )
 }
 
-/// One event as a chunk.
+/// One server-sent event, encoded as a chunk.
 pub fn event(id: u64) -> String {
     chunk(&format!("id: {id}\ndata: d{id}\n\n"))
 }
 
-/// A piece of a chunked body.
+/// One chunk of a chunked body.
 pub fn chunk(text: &str) -> String {
     format!("{:x}\r\n{text}\r\n", text.len())
 }
 
-/// The end of a chunked body.
-pub const END: &str = "0\r\n\r\n";
+/// The chunk that terminates a chunked body.
+pub const FINAL_CHUNK: &str = "0\r\n\r\n";
