--- a/crates/courseshed-edge/tests/choice.rs
+++ b/crates/courseshed-edge/tests/choice.rs
@@ -1,4 +1,4 @@
-//! Which server a gateway chooses, and how streams are split into events.
+//! Server selection by the gateway, and splitting of streams into events.
 
 mod support;
 
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_draining_server_gets_nothing_and_an_excluded_one_neither() {
+fn draining_and_excluded_servers_are_not_chosen() {
     let mut table = table(&["a", "b"]);
     let servers = [
         server("a", ServerState::Draining),
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_least_loaded_server_is_chosen() {
+fn least_loaded_server_is_chosen() {
     let mut table = table(&["a", "b", "c"]);
     for id in ["a", "a", "b"] {
         table.begin(id);
@@ -90,21 +90,21 @@
 }
 
 #[test]
-fn the_same_key_goes_to_the_same_server_until_that_is_loaded_beyond_the_bound() {
+fn key_maps_to_the_same_server_until_that_is_overloaded() {
     let mut table = table(&["a", "b", "c"]);
-    let favourite = choose(&table, Some("session"), &[]).expect("a server");
+    let preferred = choose(&table, Some("session"), &[]).expect("a server");
     assert_eq!(
         choose(&table, Some("session"), &[]),
-        Some(favourite.clone())
+        Some(preferred.clone())
     );
     for _ in 0..3 {
-        table.begin(&favourite);
+        table.begin(&preferred);
     }
-    assert_ne!(choose(&table, Some("session"), &[]), Some(favourite));
+    assert_ne!(choose(&table, Some("session"), &[]), Some(preferred));
 }
 
 #[test]
-fn calls_of_other_gateways_count_until_they_are_old() {
+fn load_of_other_gateways_counts_until_it_expires() {
     let mut table = table(&["a", "b"]);
     let others = LoadReport {
         gateways: 1,
@@ -127,9 +127,9 @@
 
 #[parameterized(
     failed = { CallReport::Failed },
-    full = { CallReport::Rejected },
+    rejected = { CallReport::Rejected },
 )]
-fn a_server_rests_after_trouble_unless_it_is_the_only_one(report: CallReport) {
+fn server_backs_off_after_a_failure_unless_it_is_the_only_one(report: CallReport) {
     let mut both = table(&["a", "b"]);
     both.report("a", report, NOW);
     for _ in 0..3 {
@@ -142,19 +142,19 @@
 }
 
 #[test]
-fn a_slow_server_is_no_favourite() {
+fn slow_server_is_not_preferred() {
     let mut table = table(&["a", "b", "c"]);
-    let favourite = choose(&table, Some("session"), &[]).expect("a server");
+    let preferred = choose(&table, Some("session"), &[]).expect("a server");
     for id in ["a", "b", "c"] {
-        let took = if id == favourite { 900 } else { 100 };
+        let took = if id == preferred { 900 } else { 100 };
         let report = CallReport::Latency(Duration::from_millis(took));
         table.report(id, report, NOW);
     }
-    assert_ne!(choose(&table, Some("session"), &[]), Some(favourite));
+    assert_ne!(choose(&table, Some("session"), &[]), Some(preferred));
 }
 
 #[test]
-fn what_was_seen_of_a_server_outlives_a_new_list() {
+fn server_statistics_survive_a_list_update() {
     let mut table = table(&["a", "b"]);
     table.begin("a");
     table.replace(
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn servers_of_an_evacuated_zone_get_nothing_even_alone() {
+fn servers_of_an_evacuated_zone_are_not_chosen_even_without_alternatives() {
     let mut table = table(&["a"]);
     let evacuated = EvacuatedZones {
         revision: 1,
@@ -182,7 +182,7 @@
     assert_eq!(
         table.available("a"),
         None,
-        "nor the rest of a call that was there"
+        "not available for resuming a call either"
     );
     table.set_serving(ServingConstraints::default());
     assert_eq!(choose(&table, None, &[]), Some("a".to_owned()));
@@ -197,18 +197,18 @@
     }
 }
 
-fn cold_is_bounded() -> ServingConstraints {
+fn with_cold_limit() -> ServingConstraints {
     ServingConstraints {
         cold_limited: ["s".to_owned()].into(),
         ..ServingConstraints::default()
     }
 }
 
-/// What a cold server bears in a second is a sum over all gateways, which none of them knows.
+/// The rate limit of a cold server applies to the sum over all gateways, which a single gateway does not know.
 #[test]
-fn a_cold_server_that_bears_little_gets_nothing_until_it_is_warm() {
+fn rate_limited_cold_server_is_not_chosen_until_it_is_warm() {
     let mut table = ServerTable::default();
-    table.set_serving(cold_is_bounded());
+    table.set_serving(with_cold_limit());
     let servers = [cold("a"), server("b", ServerState::Ready)];
     table.replace(&servers.into_iter().collect(), NOW);
     for _ in 0..20 {
@@ -225,11 +225,11 @@
     assert_eq!(choose(&table, None, &[]), Some("a".to_owned()));
 }
 
-/// Controllers that can't be heard tell of no warm server; the time that it told them is over all the same.
+/// Without contact to the controllers, a server counts as warm once its announced warm-up time has passed.
 #[test]
-fn a_server_that_should_be_warm_serves_where_no_other_is() {
+fn server_past_its_warm_up_time_is_chosen_without_alternatives() {
     let mut table = ServerTable::default();
-    table.set_serving(cold_is_bounded());
+    table.set_serving(with_cold_limit());
     table.replace(&[cold("a")].into_iter().collect(), NOW);
     let demand = demand(&[]);
     let at = |time| table.choose(&demand, &[], time, 7).map(|chosen| chosen.id);
@@ -238,20 +238,20 @@
 }
 
 #[test]
-fn a_cold_server_of_a_service_that_bears_all_is_chosen() {
+fn cold_server_without_a_rate_limit_is_chosen() {
     let mut table = ServerTable::default();
     table.replace(&[cold("a")].into_iter().collect(), NOW);
     assert_eq!(choose(&table, None, &[]), Some("a".to_owned()));
 }
 
 #[test]
-fn events_come_out_whole_however_the_bytes_are_cut() {
+fn events_are_split_correctly_for_any_chunk_size() {
     let text = "id: 1\ndata: a\n\n: note\nid: 2\r\ndata: b\r\ndata: c\r\n\r\nid: 3\nda";
     for size in 1..text.len() {
         let mut splitter = EventSplitter::default();
         let mut events = Vec::new();
-        for piece in text.as_bytes().chunks(size) {
-            splitter.push(piece);
+        for chunk in text.as_bytes().chunks(size) {
+            splitter.push(chunk);
             while let Some(event) = splitter.next_event() {
                 events.push(event);
             }
@@ -265,9 +265,9 @@
     }
 }
 
-/// Calls that may be served in one region only, whose servers are crowded while those of another are free.
+/// Calls restricted to a region with busy servers, while servers of another region are idle.
 #[test]
-fn a_call_that_is_restricted_to_regions_goes_to_no_server_elsewhere() {
+fn region_restricted_call_is_not_sent_to_other_regions() {
     let regions = [("a", "north"), ("b", "south")];
     let zones: ZoneMap = regions
         .map(|(zone, region)| (zone.to_owned(), region.to_owned()))
@@ -301,7 +301,11 @@
         chosen.map(|chosen| chosen.id)
     };
     let home = Some("home".to_owned());
-    assert_ne!(chosen(&[], &[]), home, "unrestricted calls leave it");
+    assert_ne!(
+        chosen(&[], &[]),
+        home,
+        "unrestricted calls leave the busy region"
+    );
     assert_eq!(chosen(&["north"], &[]), home);
     assert_eq!(chosen(&["north", "east"], &[]), home);
     assert_eq!(chosen(&["south"], &[]), Some("abroad".to_owned()));
--- a/crates/courseshed-edge/tests/cost.rs
+++ b/crates/courseshed-edge/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What a call is expected to cost at a server, and which one is chosen for it.
+//! Expected cost of a call at a server, and server selection by cost.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 use yare::parameterized;
 
 const NOW: Duration = Duration::from_secs(10);
-const PACE: ServiceLatency = ServiceLatency {
+const LATENCY: ServiceLatency = ServiceLatency {
     call_ms: 300.0,
     prefill_ms_per_token: 0.005,
 };
@@ -35,31 +35,31 @@
 #[parameterized(
     more_calls = { CostInputs { calls: 6, ..IDLE } },
     slower = { CostInputs { slowness: 1.3, ..IDLE } },
-    more_to_read = { CostInputs { unread_tokens: 500, ..IDLE } },
+    more_unread_tokens = { CostInputs { unread_tokens: 500, ..IDLE } },
     another_zone = { CostInputs { network_ms: 8.0, ..IDLE } },
 )]
-fn whatever_is_worse_costs_more(worse: CostInputs) {
-    assert!(expected_cost_ms(&worse, &PACE) > expected_cost_ms(&IDLE, &PACE));
+fn each_disadvantage_increases_the_cost(worse: CostInputs) {
+    assert!(expected_cost_ms(&worse, &LATENCY) > expected_cost_ms(&IDLE, &LATENCY));
 }
 
 #[test]
-fn a_long_read_costs_more_where_others_run() {
-    let cost_of_read = |calls| {
+fn prefill_costs_more_on_a_busy_server() {
+    let prefill_cost = |calls| {
         let cached = CostInputs { calls, ..IDLE };
         let unread = CostInputs {
             unread_tokens: 12_000,
             ..cached
         };
-        expected_cost_ms(&unread, &PACE) - expected_cost_ms(&cached, &PACE)
+        expected_cost_ms(&unread, &LATENCY) - expected_cost_ms(&cached, &LATENCY)
     };
-    assert!(cost_of_read(8) > 2.0 * cost_of_read(0));
+    assert!(prefill_cost(8) > 2.0 * prefill_cost(0));
 }
 
-/// Found on engines of 64 slots: with crowding counted by the share of slots, twelve calls more weighed
-/// less than another zone.
+/// Guards against measuring load only as a share of the slots, by which nine more calls on a server of 64 slots
+/// would cost less than a call to another zone.
 #[test]
-fn many_calls_outweigh_another_zone_where_slots_are_many() {
-    let crowded = CostInputs {
+fn many_calls_cost_more_than_another_zone_on_servers_with_many_slots() {
+    let busy = CostInputs {
         calls: 12,
         slots: 64,
         ..IDLE
@@ -70,53 +70,53 @@
         network_ms: 8.0,
         ..IDLE
     };
-    assert!(expected_cost_ms(&crowded, &PACE) > 1.2 * expected_cost_ms(&far, &PACE));
+    assert!(expected_cost_ms(&busy, &LATENCY) > 1.2 * expected_cost_ms(&far, &LATENCY));
 }
 
 #[test]
-fn a_full_server_costs_more_than_a_free_one_in_another_zone() {
+fn full_server_costs_more_than_a_free_one_in_another_zone() {
     let full = CostInputs { calls: 12, ..IDLE };
     let far = CostInputs {
         calls: 6,
         network_ms: 8.0,
         ..IDLE
     };
-    assert!(expected_cost_ms(&full, &PACE) > expected_cost_ms(&far, &PACE));
+    assert!(expected_cost_ms(&full, &LATENCY) > expected_cost_ms(&far, &LATENCY));
 }
 
 #[test]
-fn reads_that_waited_say_less_than_fast_ones() {
+fn slow_prefills_weigh_less_than_fast_ones() {
     let mut estimate = LatencyEstimate::default();
     let before = estimate.latency().prefill_ms_per_token;
     estimate.record_prefill(10_000, 10.0 * before * 10_000.0);
-    let after_waiting = estimate.latency().prefill_ms_per_token;
+    let after_slow = estimate.latency().prefill_ms_per_token;
     estimate.record_prefill(10_000, 0.1 * before * 10_000.0);
     let after_fast = estimate.latency().prefill_ms_per_token;
-    assert!(after_waiting < 1.5 * before);
-    assert!(after_fast < 0.9 * after_waiting);
+    assert!(after_slow < 1.5 * before);
+    assert!(after_fast < 0.9 * after_slow);
     estimate.record_prefill(100, 1_000.0);
     assert_eq!(estimate.latency().prefill_ms_per_token, after_fast);
 }
 
-/// What a service of model engines shows of itself, from the first call on.
-struct EngineTimes {
+/// Prefill timing of a simulated engine service.
+struct EngineTiming {
     ms_per_token: f64,
     first_part_ms: f64,
 }
 
 #[parameterized(
-    slow_reader = { EngineTimes { ms_per_token: 0.03, first_part_ms: 25.0 } },
-    fast_reader = { EngineTimes { ms_per_token: 0.003, first_part_ms: 8.0 } },
-    very_slow_reader = { EngineTimes { ms_per_token: 0.2, first_part_ms: 150.0 } },
+    slow_prefill = { EngineTiming { ms_per_token: 0.03, first_part_ms: 25.0 } },
+    fast_prefill = { EngineTiming { ms_per_token: 0.003, first_part_ms: 8.0 } },
+    very_slow_prefill = { EngineTiming { ms_per_token: 0.2, first_part_ms: 150.0 } },
 )]
-fn the_speed_of_reading_is_learned_although_some_calls_wait(engine: EngineTimes) {
+fn prefill_speed_is_estimated_despite_queueing(engine: EngineTiming) {
     let mut estimate = LatencyEstimate::default();
     for round in 0..400_u32 {
-        let waited_ms = f64::from(round % 4) * engine.first_part_ms;
+        let queued_ms = f64::from(round % 4) * engine.first_part_ms;
         let tokens = [100, 1_000, 2_600, 6_000, 9_000][round as usize % 5];
-        // Every tenth server held most of what was thought to be unread.
-        let read = if round % 10 == 0 { tokens / 10 } else { tokens };
-        let took_ms = engine.first_part_ms + waited_ms + engine.ms_per_token * f64::from(read);
+        // Every tenth prompt was mostly cached already.
+        let prefilled = if round % 10 == 0 { tokens / 10 } else { tokens };
+        let took_ms = engine.first_part_ms + queued_ms + engine.ms_per_token * f64::from(prefilled);
         estimate.record_prefill(tokens, took_ms);
     }
     let learned = estimate.latency().prefill_ms_per_token;
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn a_turn_goes_back_to_the_server_that_has_read_its_prompt() {
+fn turn_returns_to_the_server_with_its_cached_prompt() {
     let mut table = ServerTable::default();
     table.replace(
         &ServerList::from_iter([server("near", "near"), server("far", "far")]),
@@ -162,10 +162,9 @@
     assert_eq!(choose(&table, &prompt, 9), Some("far".to_owned()));
 }
 
-/// The link between two regions is shared by all their traffic, so calls cross it only to spare a wait that
-/// is longer than the way.
+/// Links between regions are shared, so calls cross them only to avoid a wait longer than the network latency.
 #[test]
-fn calls_stay_in_their_region_until_its_servers_are_crowded() {
+fn calls_stay_in_their_region_until_its_servers_are_busy() {
     let zones = [("near", "own"), ("next", "own"), ("far", "other")];
     let zones = zones.map(|(zone, region)| (zone.to_owned(), region.to_owned()));
     let mut table = ServerTable::default().with_zones(Arc::new(zones.into_iter().collect()));
@@ -181,7 +180,7 @@
         table.begin("next");
     }
     assert_eq!(choose(&table, &[SHARED], 99), Some("far".to_owned()));
-    // A link that is full shows in the time that it takes to connect, and keeps calls away.
+    // Slow connections indicate a congested link and keep calls in their region.
     for _ in 0..40 {
         table.record_connection("far", "near", Duration::from_secs(1));
     }
@@ -189,7 +188,7 @@
 }
 
 #[test]
-fn a_gateway_keeps_to_its_part_of_a_limit() {
+fn gateway_uses_its_share_of_the_connection_limit() {
     let mut table = ServerTable::default();
     table.replace(&ServerList::from_iter([server("near", "near")]), NOW);
     table.begin("near");
--- a/crates/courseshed-edge/tests/growth.rs
+++ b/crates/courseshed-edge/tests/growth.rs
@@ -1,6 +1,5 @@
-//! What a gateway does for a call, a change of the list of servers or a report of loads doesn't grow with the
-//! fleet. Work is measured by the bytes that are allocated for it, which are the same on every run: so this file
-//! has one test, beside which nothing else runs.
+//! The gateway's work per call, server list change and load report must not grow with the fleet. Work is measured as
+//! allocated bytes, which are deterministic, so this file has a single test and nothing else allocates beside it.
 
 #[path = "support/large_fleet.rs"]
 mod large_fleet;
@@ -11,15 +10,16 @@
 use courseshed_edge::gateway::CallReport;
 use courseshed_registry::{LoadReport, ServerChanges, ServerLoad};
 use courseshed_types::ServerKey;
-use large_fleet::{MANY, NOW, PROMPT, choose, server, table};
+use large_fleet::{LARGE_FLEET, NOW, PROMPT, choose, server, table};
 use stats_alloc::{INSTRUMENTED_SYSTEM, Region, StatsAlloc};
 
 #[global_allocator]
 static ALLOCATOR: &StatsAlloc<System> = &INSTRUMENTED_SYSTEM;
 
-const FEW: u32 = 1_000;
-/// The loads that other gateways tell of some servers.
-fn loads() -> LoadReport {
+const SMALL_FLEET: u32 = 1_000;
+
+/// A load report of other gateways for some of the servers.
+fn load_report() -> LoadReport {
     let busy = (0..50).map(|number| ServerLoad {
         server: ServerKey::of(&server(number).id),
         in_flight: 2,
@@ -33,8 +33,8 @@
     }
 }
 
-/// Bytes allocated for some calls, a report of loads and a change of the list.
-fn bytes_of_work(servers: u32) -> usize {
+/// Bytes allocated for some calls, a load report and a change of the server list.
+fn allocated_bytes(servers: u32) -> usize {
     let (mut table, mut list) = table(servers);
     choose(&table, &PROMPT, 1);
     let region = Region::new(ALLOCATOR);
@@ -46,7 +46,7 @@
         table.reevaluate_after(&chosen, CallReport::Failed, NOW);
         choose(&table, &[], tie).expect("a server");
     }
-    table.apply_load_report(&loads(), NOW);
+    table.apply_load_report(&load_report(), NOW);
     table.reevaluate_avoidance(NOW);
     assert!(table.load_report(NOW).lines() > 0);
     list.apply(ServerChanges {
@@ -59,14 +59,13 @@
     region.change().bytes_allocated
 }
 
-/// With every server weighed for each call and walked over for each report, ten times the servers took ten
-/// times the work.
+/// Guards against evaluating every server for each call or report.
 #[test]
-fn ten_times_the_servers_are_the_same_work() {
-    let few = bytes_of_work(FEW);
-    let many = bytes_of_work(MANY);
+fn work_does_not_grow_with_the_number_of_servers() {
+    let small = allocated_bytes(SMALL_FLEET);
+    let large = allocated_bytes(LARGE_FLEET);
     assert!(
-        many < few + few / 2,
-        "{few} bytes at {FEW}, {many} bytes at {MANY}"
+        large < small + small / 2,
+        "{small} bytes at {SMALL_FLEET}, {large} bytes at {LARGE_FLEET}"
     );
 }
--- a/crates/courseshed-edge/tests/policy.rs
+++ b/crates/courseshed-edge/tests/policy.rs
@@ -1,4 +1,4 @@
-//! Mechanisms that are switched off have no part in the choice of a server.
+//! Disabled mechanisms do not influence server selection.
 
 use std::time::Duration;
 
@@ -28,14 +28,18 @@
     }
 }
 
-/// How many of many calls go to server `a`, with mechanisms switched off and after something was seen.
-fn share_of_a(without: &[Mechanism], zone_of_a: &str, see: impl Fn(&mut ServerTable)) -> usize {
-    let mut table = ServerTable::new(Policy::without(without.iter().copied()));
+/// How many of 100 calls go to server `a` with some mechanisms disabled, after `prepare` has recorded observations.
+fn calls_to_a(
+    disabled: &[Mechanism],
+    zone_of_a: &str,
+    prepare: impl Fn(&mut ServerTable),
+) -> usize {
+    let mut table = ServerTable::new(Policy::without(disabled.iter().copied()));
     table.replace(
         &ServerList::from_iter([server("a", zone_of_a), server("b", "near")]),
         NOW,
     );
-    see(&mut table);
+    prepare(&mut table);
     let demand = Demand {
         service: "s",
         zone: "near",
@@ -49,24 +53,24 @@
         .count()
 }
 
-fn has_read(table: &mut ServerTable) {
+fn record_cached_prompt(table: &mut ServerTable) {
     let cached = CachedPrompt::after_answer(ServerKey::of("b"), &PROMPT, 0);
     table.record_cached(&cached, NOW);
 }
 
-fn is_slow(table: &mut ServerTable) {
+fn record_slow_calls(table: &mut ServerTable) {
     for _ in 0..20 {
         table.report("a", CallReport::Latency(Duration::from_millis(500)), NOW);
         table.report("b", CallReport::Latency(Duration::from_millis(50)), NOW);
     }
 }
 
-fn has_failed(table: &mut ServerTable) {
+fn record_failure(table: &mut ServerTable) {
     table.report("a", CallReport::Failed, NOW);
 }
 
-/// Errors by turns with answers, so that it doesn't rest.
-fn has_erred_often(table: &mut ServerTable) {
+/// Alternates errors with successes, so that the server does not back off.
+fn record_errors(table: &mut ServerTable) {
     for _ in 0..12 {
         for report in [CallReport::ServerError, CallReport::Answered] {
             table.report("a", report, NOW);
@@ -75,35 +79,39 @@
     table.reevaluate_avoidance(NOW);
 }
 
-fn nothing(_: &mut ServerTable) {}
+fn record_nothing(_: &mut ServerTable) {}
 
 #[parameterized(
-    prompt_memory = { Mechanism::PromptMemory, "near", has_read },
-    server_pace = { Mechanism::ServerPace, "near", is_slow },
-    rests = { Mechanism::Rests, "near", has_failed },
-    shared_outcomes = { Mechanism::SharedOutcomes, "near", has_erred_often },
-    own_zone = { Mechanism::OwnZone, "far", nothing },
+    prompt_memory = { Mechanism::PromptMemory, "near", record_cached_prompt },
+    server_pace = { Mechanism::ServerPace, "near", record_slow_calls },
+    rests = { Mechanism::Rests, "near", record_failure },
+    shared_outcomes = { Mechanism::SharedOutcomes, "near", record_errors },
+    own_zone = { Mechanism::OwnZone, "far", record_nothing },
 )]
-fn a_mechanism_decides_only_while_it_is_used(
+fn mechanism_affects_selection_only_while_enabled(
     mechanism: Mechanism,
     zone_of_a: &str,
-    see: fn(&mut ServerTable),
+    prepare: fn(&mut ServerTable),
 ) {
-    // Ties are broken for each call anew, so that nothing but the mechanism keeps calls from `a`.
-    let used = share_of_a(&[Mechanism::SharedPreference], zone_of_a, see);
-    let unused = share_of_a(&[Mechanism::SharedPreference, mechanism], zone_of_a, see);
-    assert_eq!(used, 0);
-    assert!((20..80).contains(&unused), "{unused}");
+    // Without the shared preference, ties are broken per call, so only the mechanism under test keeps calls from `a`.
+    let enabled = calls_to_a(&[Mechanism::SharedPreference], zone_of_a, prepare);
+    let disabled = calls_to_a(
+        &[Mechanism::SharedPreference, mechanism],
+        zone_of_a,
+        prepare,
+    );
+    assert_eq!(enabled, 0);
+    assert!((20..80).contains(&disabled), "{disabled}");
 }
 
 #[test]
 fn gateways_prefer_the_same_server_for_the_same_prompt() {
-    let shared = share_of_a(&[], "near", nothing);
+    let shared = calls_to_a(&[], "near", record_nothing);
     assert!(shared == 0 || shared == 100, "{shared}");
 }
 
 #[test]
-fn mechanisms_are_known_by_their_names() {
+fn mechanisms_are_parsed_from_their_names() {
     for mechanism in Mechanism::ALL {
         assert_eq!(mechanism.as_str().parse(), Ok(mechanism));
     }
--- a/crates/courseshed-edge/tests/prompt_memory.rs
+++ b/crates/courseshed-edge/tests/prompt_memory.rs
@@ -1,4 +1,4 @@
-//! What a gateway remembers of the prompts that servers have read.
+//! The gateway's record of prompts cached on servers.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 
 const NOW: Duration = Duration::from_secs(10);
 const SERVER: ServerKey = ServerKey(1);
-const ELSEWHERE: ServerKey = ServerKey(2);
+const OTHER_SERVER: ServerKey = ServerKey(2);
 const SHARED: PromptPart = PromptPart {
     id: 1,
     tokens: 12_000,
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_prompt_is_read_up_to_its_first_unknown_part() {
+fn prompt_is_cached_up_to_its_first_unknown_part() {
     let mut memory = PromptMemory::default();
     let prompt = [SHARED, own(1_000)];
     assert_eq!(memory.unread_tokens(SERVER, &prompt, NOW), 13_000);
@@ -27,11 +27,11 @@
     let unknown = PromptPart { id: 9, tokens: 10 };
     let behind_unknown = [unknown, SHARED];
     assert_eq!(memory.unread_tokens(SERVER, &behind_unknown, NOW), 12_010);
-    assert_eq!(memory.unread_tokens(ELSEWHERE, &prompt, NOW), 13_000);
+    assert_eq!(memory.unread_tokens(OTHER_SERVER, &prompt, NOW), 13_000);
 }
 
 #[test]
-fn what_was_generated_need_not_be_read() {
+fn generated_tokens_count_as_cached() {
     let mut memory = PromptMemory::default();
     let cached = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
     memory.record_cached(&cached, NOW);
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_older_answer_does_not_lower_what_is_known() {
+fn older_response_does_not_reduce_the_cached_length() {
     let mut memory = PromptMemory::default();
     memory.record(SERVER, &[SHARED, own(2_000)], NOW);
     let older = CachedPrompt::after_answer(SERVER, &[SHARED, own(1_000)], 300);
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn notes_are_forgotten_after_a_while() {
+fn entries_expire() {
     let mut memory = PromptMemory::default();
     memory.record(SERVER, &[SHARED], NOW);
     let later = NOW + Duration::from_secs(31);
--- a/crates/courseshed-edge/tests/support/large_fleet.rs
+++ b/crates/courseshed-edge/tests/support/large_fleet.rs
@@ -1,4 +1,4 @@
-//! A service with thousands of servers.
+//! A server table with thousands of servers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,11 +8,9 @@
 use courseshed_routing::HomeRegions;
 use courseshed_types::PromptPart;
 
-/// When everything happens that takes no time.
 pub const NOW: Duration = Duration::from_secs(10);
-/// Servers of a large fleet.
-pub const MANY: u32 = 10_000;
-/// A prompt with a part that many share.
+pub const LARGE_FLEET: u32 = 10_000;
+/// A prompt whose first part is shared by many calls.
 pub const PROMPT: [PromptPart; 2] = [
     PromptPart {
         id: 7,
@@ -24,7 +22,7 @@
     },
 ];
 
-/// One of many engines, in one of five zones.
+/// An engine in one of five zones.
 pub fn server(number: u32) -> Server {
     let [_, _, high, low] = number.to_be_bytes();
     Server {
@@ -40,7 +38,7 @@
     }
 }
 
-/// A table of so many servers, and their list.
+/// A table of `servers` servers, and the list that it was built from.
 pub fn table(servers: u32) -> (ServerTable, ServerList) {
     let list: ServerList = (0..servers).map(server).collect();
     let mut table = ServerTable::default();
@@ -48,7 +46,7 @@
     (table, list)
 }
 
-/// The server that a call from a zone goes to.
+/// The server chosen for a call from `zone-1`.
 pub fn choose(table: &ServerTable, prompt: &[PromptPart], tie: u64) -> Option<String> {
     let demand = Demand {
         service: "engines",
