--- a/crates/courseshed-edge/tests/access.rs
+++ b/crates/courseshed-edge/tests/access.rs
@@ -1,4 +1,4 @@
-//! Who is let in by which key, and for how long.
+//! Authentication by API key, and how long a proof of the routing table allows its use.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,7 +9,7 @@
 };
 use yare::parameterized;
 
-const NOT_PROVEN_HERE: Refusal = Refusal::NoProof {
+const NO_LOCAL_PROOF: Refusal = Refusal::NoProof {
     is_everywhere: false,
 };
 const REVOCATION: Duration = Duration::from_secs(5);
@@ -63,15 +63,15 @@
 
 #[parameterized(
     known = { key("k1"), aged(0), Ok(Some("a")) },
-    known_until_the_proof_lapses = { key("k1"), aged(4599), Ok(Some("a")) },
-    lapsed = { key("k1"), aged(4600), Err(NOT_PROVEN_HERE) },
-    never_proven = { key("k1"), None, Err(NOT_PROVEN_HERE) },
+    known_until_the_proof_expires = { key("k1"), aged(4599), Ok(Some("a")) },
+    expired = { key("k1"), aged(4600), Err(NO_LOCAL_PROOF) },
+    never_proven = { key("k1"), None, Err(NO_LOCAL_PROOF) },
     unknown = { key("k9"), aged(1600), Err(Refusal::UnknownKey) },
-    unknown_but_perhaps_new = { key("k9"), aged(2600), Err(NOT_PROVEN_HERE) },
-    none = { Credential::Missing, aged(0), Err(Refusal::UnknownKey) },
+    unknown_but_possibly_new = { key("k9"), aged(2600), Err(NO_LOCAL_PROOF) },
+    missing = { Credential::Missing, aged(0), Err(Refusal::UnknownKey) },
     unusable = { Credential::Unusable, aged(0), Err(Refusal::UnknownKey) },
 )]
-fn keys_let_in(
+fn keys_are_accepted_while_proven(
     credential: Credential,
     proof_age: Option<Duration>,
     expected: Result<Option<&str>, Refusal>,
@@ -90,18 +90,18 @@
 }
 
 #[test]
-fn public_routes_need_no_key_and_show_none() {
+fn public_routes_need_no_key_and_hide_it() {
     let terms = AccessTerms::strict(REVOCATION);
     let table = table(1, Some(&[("a", "k1")])).table;
     let caller = terms
         .identify(key("k9"), &route(true), &table, None)
-        .expect("let in");
+        .expect("accepted");
     assert_eq!(caller.tenant_name(), None);
     assert!(caller.hides_key);
 }
 
 #[test]
-fn without_tenants_everyone_is_let_in_as_before() {
+fn everyone_is_accepted_without_tenants() {
     let terms = AccessTerms::strict(REVOCATION);
     let caller = terms
         .identify(
@@ -110,13 +110,13 @@
             &table(1, None).table,
             None,
         )
-        .expect("let in");
+        .expect("accepted");
     assert_eq!(caller.tenant_name(), None);
     assert!(!caller.hides_key);
 }
 
 #[test]
-fn keys_are_used_without_proof_where_that_is_allowed() {
+fn keys_are_accepted_without_proof_by_default() {
     let terms = AccessTerms::default();
     let table = table(1, Some(&[("a", "k1")])).table;
     let caller = terms.identify(key("k1"), &route(false), &table, None);
@@ -126,12 +126,12 @@
 #[parameterized(
     same_version = { table(1, Some(&[("a", "k1")])), aged(0), Ok(()) },
     still_held = { table(2, Some(&[("b", "k2"), ("a", "k1")])), aged(0), Ok(()) },
-    taken_away = { table(2, Some(&[("a", "k2")])), aged(0), Err(Refusal::UnknownKey) },
-    given_to_another = { table(2, Some(&[("b", "k1")])), aged(0), Err(Refusal::UnknownKey) },
-    proof_lapsed_meanwhile = { table(1, Some(&[("a", "k1")])), aged(4700), Err(NOT_PROVEN_HERE) },
-    no_tenants_any_more = { table(2, None), aged(0), Ok(()) },
+    revoked = { table(2, Some(&[("a", "k2")])), aged(0), Err(Refusal::UnknownKey) },
+    moved_to_another_tenant = { table(2, Some(&[("b", "k1")])), aged(0), Err(Refusal::UnknownKey) },
+    proof_expired_meanwhile = { table(1, Some(&[("a", "k1")])), aged(4700), Err(NO_LOCAL_PROOF) },
+    tenants_removed = { table(2, None), aged(0), Ok(()) },
 )]
-fn a_caller_is_checked_again_before_each_send(
+fn caller_is_checked_again_before_each_send(
     now: VersionedTable,
     proof_age: Option<Duration>,
     expected: Result<(), Refusal>,
@@ -140,16 +140,16 @@
     let before = table(1, Some(&[("a", "k1")])).table;
     let caller = terms
         .identify(key("k1"), &route(false), &before, aged(0))
-        .expect("let in");
+        .expect("accepted");
     assert_eq!(terms.check_again(&caller, 1, &now, proof_age), expected);
 }
 
 #[parameterized(
-    usual = { 5_000, 4_600 },
-    short = { 1_000, 875 },
+    default_period = { 5_000, 4_600 },
+    short_period = { 1_000, 875 },
 )]
-fn a_proof_lapses_before_the_key_must_be_out_of_use(revocation_ms: u64, lasts_ms: u64) {
+fn proof_expires_before_the_revocation_deadline(revocation_ms: u64, valid_ms: u64) {
     let terms = AccessTerms::strict(Duration::from_millis(revocation_ms));
-    assert!(terms.is_proven(aged(lasts_ms - 1)));
-    assert!(!terms.is_proven(aged(lasts_ms)));
+    assert!(terms.is_proven(aged(valid_ms - 1)));
+    assert!(!terms.is_proven(aged(valid_ms)));
 }
--- a/crates/courseshed-edge/tests/answer_times.rs
+++ b/crates/courseshed-edge/tests/answer_times.rs
@@ -1,4 +1,4 @@
-//! How long a silent server is waited for.
+//! How long the gateway waits for a server that does not respond.
 
 use std::time::Duration;
 
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn nothing_is_expected_before_enough_was_seen() {
+fn no_limit_without_enough_samples() {
     let mut times = AnswerTimes::default();
     assert_eq!(times.silence_borne(ROUTE), None);
     for _ in 0..10 {
@@ -22,38 +22,38 @@
 }
 
 #[parameterized(
-    quick = { 50 },
+    fast = { 50 },
     slow = { 700 },
 )]
-fn a_server_is_waited_for_well_beyond_the_slow_answers(usual_ms: u64) {
+fn limit_is_well_above_slow_response_times(typical_ms: u64) {
     let mut times = AnswerTimes::default();
     for index in 0..2_000 {
         let factor = if index % 10 == 0 { 4 } else { 1 };
-        times.note(ROUTE, milliseconds(usual_ms * factor));
+        times.note(ROUTE, milliseconds(typical_ms * factor));
     }
-    let borne = times.silence_borne(ROUTE).expect("known");
-    assert!(borne > milliseconds(usual_ms * 5), "{borne:?}");
-    assert!(borne < milliseconds(usual_ms * 30), "{borne:?}");
+    let limit = times.silence_borne(ROUTE).expect("known");
+    assert!(limit > milliseconds(typical_ms * 5), "{limit:?}");
+    assert!(limit < milliseconds(typical_ms * 30), "{limit:?}");
 }
 
 #[test]
-fn servers_that_became_slow_are_waited_for_longer() {
+fn limit_adapts_to_servers_that_become_slower() {
     let mut times = AnswerTimes::default();
     for _ in 0..500 {
         times.note(ROUTE, milliseconds(100));
     }
-    let mut given_up = 0;
+    let mut timed_out = 0;
     for _ in 0..100 {
-        let borne = times.silence_borne(ROUTE).expect("known");
-        let took = milliseconds(2_000).min(borne);
-        given_up += usize::from(took == borne);
+        let limit = times.silence_borne(ROUTE).expect("known");
+        let took = milliseconds(2_000).min(limit);
+        timed_out += usize::from(took == limit);
         times.note(ROUTE, took);
     }
-    assert!(given_up < 20, "{given_up}");
+    assert!(timed_out < 20, "{timed_out}");
 }
 
 #[test]
-fn routes_that_are_gone_are_forgotten() {
+fn samples_of_removed_routes_are_dropped() {
     let mut times = AnswerTimes::default();
     for _ in 0..50 {
         times.note(ROUTE, milliseconds(50));
--- a/crates/courseshed-edge/tests/ask_order.rs
+++ b/crates/courseshed-edge/tests/ask_order.rs
@@ -1,4 +1,4 @@
-//! Which replicas of a partition are asked first.
+//! The order in which the replicas of a record partition are asked.
 
 use courseshed_edge::records::{AskOrder, order_of_sources};
 use courseshed_records::{RecordMember, RecordView};
@@ -11,7 +11,7 @@
     zones.into_iter().collect()
 }
 
-/// Five replicas in zones; one is still joining if it is named.
+/// A view of five replicas in the given zones, optionally with one that is still joining.
 fn view(zones: [&str; 5], joining: Option<u32>) -> RecordView {
     let members = zones.into_iter().zip(1..).map(|(zone, node)| RecordMember {
         node: NodeId(node),
@@ -31,27 +31,27 @@
 }
 
 #[parameterized(
-    a_quorum_is_near = { ["a1", "a2", "a1", "a2", "b1"], None, &[1, 2, 3, 4], &[5] },
-    it_is_near_in_spite_of_one_that_joins = { ["a1", "a2", "a1", "a2", "b1"], Some(2), &[1, 2, 3, 4], &[5] },
-    too_few_are_near = { ["a1", "a2", "b1", "b2", "b1"], None, &[1, 2, 3, 4, 5], &[] },
-    too_few_near_ones_count = { ["a1", "a2", "a1", "b2", "b1"], Some(1), &[1, 2, 3, 4, 5], &[] },
-    all_are_near = { ["a1", "a2", "a1", "a2", "a1"], None, &[1, 2, 3, 4, 5], &[] },
-    an_unknown_zone_is_near = { ["a1", "a2", "new", "b2", "b1"], None, &[1, 2, 3], &[4, 5] },
+    quorum_in_region = { ["a1", "a2", "a1", "a2", "b1"], None, &[1, 2, 3, 4], &[5] },
+    quorum_in_region_with_joining_replica = { ["a1", "a2", "a1", "a2", "b1"], Some(2), &[1, 2, 3, 4], &[5] },
+    no_quorum_in_region = { ["a1", "a2", "b1", "b2", "b1"], None, &[1, 2, 3, 4, 5], &[] },
+    no_active_quorum_in_region = { ["a1", "a2", "a1", "b2", "b1"], Some(1), &[1, 2, 3, 4, 5], &[] },
+    all_in_region = { ["a1", "a2", "a1", "a2", "a1"], None, &[1, 2, 3, 4, 5], &[] },
+    unknown_zone_counts_as_in_region = { ["a1", "a2", "new", "b2", "b1"], None, &[1, 2, 3], &[4, 5] },
 )]
-fn far_replicas_are_asked_later_where_near_ones_can_decide(
-    places: [&str; 5],
+fn remote_replicas_are_asked_later_if_the_region_has_a_quorum(
+    member_zones: [&str; 5],
     joining: Option<u32>,
     first: &[u32],
     later: &[u32],
 ) {
-    let view = view(places, joining);
+    let view = view(member_zones, joining);
     let order = AskOrder::new(&view, &zones(), "a1");
     assert_eq!(nodes(&order.first), first);
     assert_eq!(nodes(&order.later), later);
 }
 
 #[test]
-fn a_view_is_local_where_its_quorum_is() {
+fn view_is_local_in_the_region_of_its_quorum() {
     let zones = zones();
     let view = view(["a1", "a2", "a1", "a2", "b1"], None);
     assert!(AskOrder::new(&view, &zones, "a2").is_local(&zones, "a2"));
@@ -59,10 +59,9 @@
     assert!(!AskOrder::new(&RecordView::default(), &zones, "a1").is_local(&zones, "a1"));
 }
 
-/// Found by days on which stores lost their disks: the replica that had lost its place stood in the zone of the one
-/// that joined, was read from first, and never answered.
+/// Guards against a joining replica reading first from a former member in its own zone that never answers.
 #[test]
-fn a_joining_replica_reads_last_from_those_that_lost_their_place() {
+fn joining_replica_reads_from_former_members_last() {
     let mut view = view(["b1", "a2", "a1", "a2", "b2"], Some(3));
     view.former = vec![RecordMember {
         node: NodeId(9),
--- a/crates/courseshed-edge/tests/follower_order.rs
+++ b/crates/courseshed-edge/tests/follower_order.rs
@@ -1,4 +1,4 @@
-//! Which controllers the nodes of a fleet follow.
+//! The order in which nodes prefer controllers to follow.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use courseshed_edge::follower_order::{CandidateController, order_of_controllers};
 use courseshed_types::NodeId;
 
-const FLEET: u32 = 900;
+const NODES: u32 = 900;
 const CONTROLLERS: u32 = 10;
 
 fn candidate(node: u32, answered_in_ms: Option<u64>) -> CandidateController {
@@ -16,9 +16,9 @@
     }
 }
 
-fn followers(candidates: &[CandidateController]) -> BTreeMap<NodeId, u32> {
+fn followers_by_controller(candidates: &[CandidateController]) -> BTreeMap<NodeId, u32> {
     let mut followers = BTreeMap::new();
-    for gateway in 1_000..1_000 + FLEET {
+    for gateway in 1_000..1_000 + NODES {
         let order = order_of_controllers(NodeId(gateway), candidates.to_vec());
         assert_eq!(order.len(), candidates.len());
         *followers.entry(order[0]).or_default() += 1;
@@ -26,27 +26,27 @@
     followers
 }
 
-/// With each node staying with the first of three that it knew, 7 of 10 controllers had no followers at all.
+/// Guards against nodes concentrating on the controllers that they learn of first.
 #[test]
-fn a_fleet_spreads_over_all_its_controllers() {
+fn followers_spread_over_all_controllers() {
     let near: Vec<_> = (0..CONTROLLERS)
         .map(|node| candidate(node, Some(u64::from(node))))
         .collect();
-    let followers = followers(&near);
+    let followers = followers_by_controller(&near);
     assert_eq!(followers.len(), CONTROLLERS as usize);
-    let mean = FLEET / CONTROLLERS;
+    let mean = NODES / CONTROLLERS;
     for count in followers.values() {
         assert!((mean / 2..2 * mean).contains(count), "{followers:?}");
     }
 }
 
 #[test]
-fn those_of_a_lost_controller_spread_over_the_others() {
+fn followers_of_a_lost_controller_spread_over_the_others() {
     let near: Vec<_> = (0..CONTROLLERS)
         .map(|node| candidate(node, Some(1)))
         .collect();
     let mut next = BTreeMap::new();
-    for gateway in 1_000..1_000 + FLEET {
+    for gateway in 1_000..1_000 + NODES {
         let order = order_of_controllers(NodeId(gateway), near.clone());
         if order[0] == NodeId(0) {
             *next.entry(order[1]).or_insert(0) += 1;
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn controllers_of_another_region_are_followed_last_and_silent_ones_after_them() {
+fn unresponsive_controllers_come_last_after_those_of_other_regions() {
     let candidates = [
         candidate(1, None),
         candidate(2, Some(61)),
--- a/crates/courseshed-edge/tests/logging.rs
+++ b/crates/courseshed-edge/tests/logging.rs
@@ -1,27 +1,27 @@
-//! Log lines are never waited for.
+//! Logging never blocks the process.
 
 use std::process::{Child, Command, ExitStatus, Stdio};
 use std::time::Duration;
 
 use courseshed_edge::logging;
 
-/// Set in the processes that this test starts of itself.
-const CHILD: &str = "COURSESHED_TEST_CHILD";
-/// More than a pipe and the queue of lines hold.
+/// Set in child processes that this test starts.
+const CHILD_VAR: &str = "COURSESHED_TEST_CHILD";
+/// More than the pipe buffer and the log queue hold.
 const MANY_LINES: usize = 20_000;
 
 fn start_child(test: &str) -> Child {
     let program = std::env::current_exe().expect("this program");
     Command::new(program)
         .args(["--exact", test, "--nocapture"])
-        .env(CHILD, "1")
+        .env(CHILD_VAR, "1")
         .stdout(Stdio::piped())
         .spawn()
         .expect("a child")
 }
 
 fn is_child() -> bool {
-    std::env::var_os(CHILD).is_some()
+    std::env::var_os(CHILD_VAR).is_some()
 }
 
 fn wait_for(child: &mut Child) -> ExitStatus {
@@ -32,11 +32,11 @@
         std::thread::sleep(Duration::from_millis(10));
     }
     child.kill().expect("a child");
-    panic!("the child never ended");
+    panic!("child process did not exit within 60 s");
 }
 
 #[test]
-fn a_pipe_that_nobody_reads_stops_nobody() {
+fn unread_pipe_does_not_block_logging() {
     if is_child() {
         logging::init("node-1".to_owned(), "test");
         for number in 0..MANY_LINES {
@@ -45,6 +45,6 @@
         assert!(logging::left_out() > 0);
         std::process::exit(0);
     }
-    let mut child = start_child("a_pipe_that_nobody_reads_stops_nobody");
+    let mut child = start_child("unread_pipe_does_not_block_logging");
     assert!(wait_for(&mut child).success());
 }
--- a/crates/courseshed-edge/tests/held_memory.rs
+++ b/crates/courseshed-edge/tests/memory_budget.rs
@@ -1,4 +1,4 @@
-//! The account of what a gateway holds for slow readers, by itself.
+//! Unit tests of the memory budget for data buffered for slow callers and servers.
 
 use std::time::Duration;
 
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_body_is_refused_while_answers_under_way_still_have_room() {
+fn bodies_are_refused_before_responses_run_out_of_room() {
     let mut memory = MemoryBudget::new(TERMS);
     let id = memory.begin();
     memory.set(id, BufferKind::Request, 500);
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn what_is_set_replaces_what_was_and_ends_with_the_connection() {
+fn set_replaces_the_previous_value_until_the_connection_ends() {
     let mut memory = MemoryBudget::new(TERMS);
     let (one, two) = (memory.begin(), memory.begin());
     memory.set(one, BufferKind::Request, 300);
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_connection_counts_for_as_long_as_it_is_there() {
+fn connection_overhead_counts_while_it_is_open() {
     let terms = HeldTerms {
         connection_bytes: 60,
         ..TERMS
@@ -56,9 +56,12 @@
     let (one, two) = (memory.begin(), memory.begin());
     memory.set_unsent(one, 900, Some(seconds(1)));
     assert_eq!(memory.total(), 1020);
-    let cut = memory.select_disconnects(seconds(2));
+    let disconnects = memory.select_disconnects(seconds(2));
     assert_eq!(
-        cut.iter().map(|cut| cut.held_bytes).collect::<Vec<_>>(),
+        disconnects
+            .iter()
+            .map(|disconnect| disconnect.held_bytes)
+            .collect::<Vec<_>>(),
         [960]
     );
     memory.end(one);
@@ -68,23 +71,23 @@
 }
 
 #[test]
-fn a_caller_that_takes_nothing_is_cut_off_at_the_stall_limit_and_once() {
+fn stalled_caller_is_disconnected_once_at_the_stall_limit() {
     let mut memory = MemoryBudget::new(TERMS);
     let id = memory.begin();
     memory.set_unsent(id, 100, Some(seconds(5)));
     assert_eq!(memory.select_disconnects(Duration::from_millis(14_999)), []);
-    let cut = memory.select_disconnects(seconds(15));
-    assert_eq!(cut.len(), 1);
-    assert_eq!(cut[0].id, id);
-    assert_eq!(cut[0].reason, DisconnectReason::Stall);
-    assert_eq!(cut[0].held_bytes, 100);
-    assert_eq!(cut[0].stalled_for, seconds(10));
+    let disconnects = memory.select_disconnects(seconds(15));
+    assert_eq!(disconnects.len(), 1);
+    assert_eq!(disconnects[0].id, id);
+    assert_eq!(disconnects[0].reason, DisconnectReason::Stall);
+    assert_eq!(disconnects[0].held_bytes, 100);
+    assert_eq!(disconnects[0].stalled_for, seconds(10));
     assert_eq!(memory.select_disconnects(seconds(16)), []);
     assert_eq!(memory.total(), 100);
 }
 
 #[test]
-fn a_caller_that_takes_a_little_now_and_then_is_not_cut_off() {
+fn slowly_reading_caller_is_not_disconnected() {
     let mut memory = MemoryBudget::new(TERMS);
     let id = memory.begin();
     for now in 1..100 {
@@ -94,7 +97,7 @@
 }
 
 #[test]
-fn the_one_that_holds_most_for_longest_is_cut_off_first_and_no_more_than_needed() {
+fn fewest_callers_are_disconnected_largest_bytes_times_stall_first() {
     let mut memory = MemoryBudget::new(TERMS);
     let long = memory.begin();
     let large = memory.begin();
@@ -102,48 +105,60 @@
     memory.set_unsent(long, 100, Some(seconds(1)));
     memory.set_unsent(large, 500, Some(seconds(7)));
     memory.set_unsent(worst, 401, Some(seconds(2)));
-    let cut = memory.select_disconnects(seconds(8));
-    let named: Vec<_> = cut.iter().map(|cut| (cut.id, cut.reason)).collect();
-    assert_eq!(named, [(worst, DisconnectReason::Memory)]);
-    // It counts until its connection has ended, and no other goes for it.
+    let disconnects = memory.select_disconnects(seconds(8));
+    let selected: Vec<_> = disconnects
+        .iter()
+        .map(|disconnect| (disconnect.id, disconnect.reason))
+        .collect();
+    assert_eq!(selected, [(worst, DisconnectReason::Memory)]);
+    // It counts until its connection has ended, and no other caller is disconnected in its place.
     assert_eq!(memory.total(), 1001);
     assert_eq!(memory.select_disconnects(seconds(8)), []);
 }
 
-/// Slow readers that hold just less than the total would keep new callers out until the stall limit.
+/// Slow callers that hold slightly less than the total must not block admission until the stall limit.
 #[test]
-fn while_memory_is_short_a_shorter_stall_suffices() {
+fn shorter_stall_limit_applies_under_memory_pressure() {
     let mut memory = MemoryBudget::new(TERMS);
     let (one, two) = (memory.begin(), memory.begin());
     memory.set_unsent(one, 400, Some(seconds(1)));
     memory.set_unsent(two, 400, Some(seconds(2)));
     assert!(!memory.admits(1));
     assert_eq!(memory.select_disconnects(Duration::from_millis(3_999)), []);
-    let cut = memory.select_disconnects(seconds(5));
-    let named: Vec<_> = cut.iter().map(|cut| (cut.id, cut.reason)).collect();
-    assert_eq!(named, [(one, DisconnectReason::Memory)]);
+    let disconnects = memory.select_disconnects(seconds(5));
+    let selected: Vec<_> = disconnects
+        .iter()
+        .map(|disconnect| (disconnect.id, disconnect.reason))
+        .collect();
+    assert_eq!(selected, [(one, DisconnectReason::Memory)]);
     memory.end(one);
     assert!(memory.admits(1));
     assert_eq!(memory.select_disconnects(seconds(6)), []);
 }
 
 #[test]
-fn a_caller_that_reads_is_not_cut_off_for_memory() {
+fn reading_caller_is_not_disconnected_for_memory() {
     let mut memory = MemoryBudget::new(TERMS);
     let reading = memory.begin();
     let slow = memory.begin();
     memory.set(reading, BufferKind::Response, 5000);
     memory.set_unsent(slow, 1, Some(seconds(1)));
-    let cut = memory.select_disconnects(seconds(2));
-    assert_eq!(cut.iter().map(|cut| cut.id).collect::<Vec<_>>(), [slow]);
+    let disconnects = memory.select_disconnects(seconds(2));
+    assert_eq!(
+        disconnects
+            .iter()
+            .map(|disconnect| disconnect.id)
+            .collect::<Vec<_>>(),
+        [slow]
+    );
     assert_eq!(memory.select_disconnects(seconds(3)), []);
 }
 
 #[test]
-fn a_small_machine_has_room_for_a_few_large_bodies() {
+fn budget_depends_on_machine_memory_with_a_minimum() {
     let small = HeldTerms::of_machine(0);
     assert_eq!(small.total_bytes, 16 * 1024 * 1024);
-    let usual = HeldTerms::of_machine(88_000_000);
-    assert_eq!(usual.total_bytes, 56_000_000);
-    assert_eq!(usual.admission_bytes, 49_000_000);
+    let typical = HeldTerms::of_machine(88_000_000);
+    assert_eq!(typical.total_bytes, 56_000_000);
+    assert_eq!(typical.admission_bytes, 49_000_000);
 }
--- a/crates/courseshed-edge/tests/outages.rs
+++ b/crates/courseshed-edge/tests/outages.rs
@@ -1,4 +1,4 @@
-//! Which calls wait for a partition without a quorum, and which are refused at once.
+//! Which calls wait for a record partition without a quorum, and which are refused immediately.
 
 use std::time::Duration;
 
@@ -14,12 +14,12 @@
 }
 
 #[parameterized(
-    just_begun = { 100, 4_000, Outlook::Wait },
-    as_long_as_is_left = { 1_000, 1_000, Outlook::Wait },
-    longer_than_is_left = { 1_050, 1_000, Outlook::AskOnce },
+    recent = { 100, 4_000, Outlook::Wait },
+    as_long_as_time_left = { 1_000, 1_000, Outlook::Wait },
+    longer_than_time_left = { 1_050, 1_000, Outlook::AskOnce },
     long = { 60_000, 4_000, Outlook::AskOnce },
 )]
-fn a_call_waits_while_it_has_as_much_time_as_the_outage_lasted(
+fn call_waits_if_its_time_left_covers_the_outage_so_far(
     age_ms: u64,
     left_ms: u64,
     expected: Outlook,
@@ -33,26 +33,29 @@
 }
 
 #[test]
-fn one_call_in_a_while_finds_out_and_the_others_are_refused() {
+fn partition_is_probed_periodically_and_other_calls_are_refused() {
     let began = Instant::now();
     let now = began + milliseconds(10_000);
     let deadline = now + milliseconds(500);
     let mut outages = Outages::default();
     outages.note_failed(PARTITION, began);
-    let mut ask = |after| outages.outlook(PARTITION, now + milliseconds(after), deadline);
-    assert_eq!(ask(0), Outlook::AskOnce);
-    assert_eq!(ask(1), Outlook::Refuse);
-    assert_eq!(ask(99), Outlook::Refuse);
-    assert_eq!(ask(100), Outlook::AskOnce);
+    let mut outlook_after = |after| outages.outlook(PARTITION, now + milliseconds(after), deadline);
+    assert_eq!(outlook_after(0), Outlook::AskOnce);
+    assert_eq!(outlook_after(1), Outlook::Refuse);
+    assert_eq!(outlook_after(99), Outlook::Refuse);
+    assert_eq!(outlook_after(100), Outlook::AskOnce);
 }
 
 #[test]
-fn an_outage_is_over_with_the_first_answer_and_concerns_its_partition_alone() {
+fn outage_ends_with_the_first_answer_and_affects_only_its_partition() {
     let began = Instant::now();
     let now = began + milliseconds(10_000);
     let mut outages = Outages::default();
     outages.note_failed(PARTITION, began);
-    assert!(!outages.note_failed(PARTITION, now), "it goes on");
+    assert!(
+        !outages.note_failed(PARTITION, now),
+        "the outage is already known"
+    );
     let other = PartitionId(5);
     assert_eq!(outages.outlook(other, now, now), Outlook::Wait);
     outages.note_answered(PARTITION);
