--- a/crates/courseshed-edge/src/records/disk.rs
+++ b/crates/courseshed-edge/src/records/disk.rs
@@ -278,6 +278,6 @@
         }
         self.reported_at = Instant::now();
         let figures = self.store.stats();
-        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.compacted_bytes; "contents of the store");
+        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, compacted_bytes = figures.compacted_bytes; "contents of the store");
     }
 }
