--- a/crates/courseshed-membership/src/migration.rs
+++ b/crates/courseshed-membership/src/migration.rs
@@ -1,39 +1,40 @@
-//! How a shard's replicas get from where they are to where the member map wants them, one step at a time.
+//! Plans the single-step membership changes that move a shard's replicas to their target placement.
 //!
-//! A step is one membership change of the shard's log. The order keeps the quorum safe: a newcomer first learns,
-//! then votes, and only when every wanted replica votes do the others go; the leader goes last, after handing over.
+//! A step is one membership change of the shard's log. The order preserves the quorum: new replicas join as learners,
+//! then become voters, and surplus replicas are removed only once every target replica votes. The leader is removed
+//! last, after transferring leadership.
 
 use std::collections::BTreeSet;
 
-/// The replicas a shard's log has now.
+/// Current replicas of a shard's log.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ReplicaSet<R: Ord> {
-    /// Replicas that vote.
+    /// Voting replicas.
     pub voters: BTreeSet<R>,
-    /// Replicas that only receive the log.
+    /// Non-voting replicas that receive the log.
     pub learners: BTreeSet<R>,
-    /// Learners that have nearly all of the log.
+    /// Learners that have replicated nearly all of the log.
     pub caught_up: BTreeSet<R>,
     /// The leader, which executes the steps.
     pub leader: Option<R>,
 }
 
-/// The next change to make.
+/// The next membership change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReplicaStep<R> {
-    /// Send the log to a new replica that does not vote.
+    /// Add a replica as a learner.
     AddLearner(R),
-    /// Let a learner vote.
+    /// Make a learner a voter.
     Promote(R),
-    /// Hand leadership over, since the leader itself is to go.
+    /// Transfer leadership, because the leader itself will be removed.
     TransferLeadership(R),
-    /// Drop a replica.
+    /// Remove a replica.
     Remove(R),
-    /// A learner must catch up first.
+    /// Wait until the learner has caught up.
     AwaitCatchUp(R),
 }
 
-/// The next step from `current` to `target`; none when they agree or `target` is empty.
+/// Returns the next step from `current` to `target`, or `None` if they match or `target` is empty.
 pub fn plan_replica_changes<R: Ord + Copy>(
     current: &ReplicaSet<R>,
     target: &[R],
@@ -41,21 +42,21 @@
     if target.is_empty() {
         return None;
     }
-    let unwanted_learner = current.learners.iter().find(|id| !target.contains(id));
-    if let Some(learner) = unwanted_learner {
+    let surplus_learner = current.learners.iter().find(|id| !target.contains(id));
+    if let Some(learner) = surplus_learner {
         return Some(ReplicaStep::Remove(*learner));
     }
     if let Some(learner) = current.learners.iter().next() {
-        let ready = current.caught_up.contains(learner);
-        return Some(if ready {
+        let is_caught_up = current.caught_up.contains(learner);
+        return Some(if is_caught_up {
             ReplicaStep::Promote(*learner)
         } else {
             ReplicaStep::AwaitCatchUp(*learner)
         });
     }
     let missing = target.iter().find(|id| !current.voters.contains(id));
-    if let Some(newcomer) = missing {
-        return Some(ReplicaStep::AddLearner(*newcomer));
+    if let Some(new_replica) = missing {
+        return Some(ReplicaStep::AddLearner(*new_replica));
     }
     remove_surplus(current, target)
 }
@@ -101,19 +102,19 @@
 
     proptest! {
         #[test]
-        fn every_plan_ends_at_the_target_and_never_thins_the_quorum(
+        fn every_plan_reaches_the_target_and_preserves_the_quorum(
             voters in proptest::collection::btree_set(0u32..8, 1..4),
             target in proptest::collection::btree_set(0u32..8, 1..4),
             learners in proptest::collection::btree_set(8u32..10, 0..2),
         ) {
             let target: Vec<u32> = target.into_iter().collect();
-            let floor = voters.len().min(target.len());
+            let min_voters = voters.len().min(target.len());
             let leader = voters.iter().next().copied();
             let mut set = ReplicaSet { voters, learners, leader, ..ReplicaSet::default() };
             for _ in 0..40 {
                 let Some(step) = plan_replica_changes(&set, &target) else { break };
                 execute(&mut set, step);
-                prop_assert!(set.voters.len() >= floor);
+                prop_assert!(set.voters.len() >= min_voters);
                 prop_assert!(set.learners.len() <= 2);
             }
             prop_assert_eq!(set.voters, target.into_iter().collect::<BTreeSet<u32>>());
--- a/crates/courseshed-membership/src/placement.rs
+++ b/crates/courseshed-membership/src/placement.rs
@@ -1,17 +1,17 @@
-//! Which nodes keep which shard.
+//! Assigns shard replicas to nodes.
 //!
-//! Placement is sticky: it starts from the placement in the member map and changes as little as it can. In order:
+//! Placement starts from the assignment in the member map and moves as few replicas as possible:
 //!
-//! 1. A replica on a live node stays. A replica on a node that is down, leaving or gone is replaced where another
-//!    node can take it, and otherwise stays, because a smaller set would need every one of its members for a quorum.
-//! 2. Vacancies go to nodes in zones that hold no replica of the shard yet, to the emptiest first, and among equals
-//!    by rendezvous score. (Rendezvous score first, under a bound on load, was tried: levelling afterwards moved
-//!    more replicas than the lost node had held.)
-//! 3. Replicas move from the fullest to the emptiest node as long as that narrows a gap of two or more and leaves
-//!    no shard with fewer zones.
-//! 4. The preferred leader, the first replica, is spread the same way, by swapping the order only.
+//! 1. Replicas on live nodes stay. A replica on a node that is down, leaving or gone is replaced if another node is
+//!    available. Otherwise, while its node is in the member map, it stays: a smaller replica set would tolerate fewer
+//!    failures.
+//! 2. Vacancies are filled from zones without a replica of the shard, least loaded node first, with the rendezvous
+//!    score as tie-breaker. Load ranks before the score so that balancing moves fewer replicas afterwards.
+//! 3. Replicas move from the most to the least loaded node while that reduces an imbalance of two or more and no
+//!    shard loses a zone.
+//! 4. Preferred leaders (first replicas) are balanced in the same way, by reordering replicas.
 //!
-//! The result depends on the map and the options alone, so every controller computes the same.
+//! The result depends only on the map and the options, so every controller computes the same placement.
 
 use std::{
     cmp::Reverse,
@@ -26,17 +26,17 @@
 
 use crate::rendezvous;
 
-/// A gap between the fullest and the emptiest node that is worth moving a replica for.
-const GAP_WORTH_MOVING: usize = 2;
+/// Smallest load difference between two nodes for which a replica or leader is moved.
+const MIN_IMBALANCE: usize = 2;
 
-/// How shards are placed.
+/// Parameters of shard placement.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlacementOptions {
-    /// Shards of each region. May grow later, never shrink: a program's id names its shard.
+    /// Shards per region. Can be increased but not reduced, because program ids contain the shard.
     pub shards_per_region: u32,
-    /// Replicas of each shard.
+    /// Replicas per shard.
     pub replicas: u32,
-    /// Shards of a region are made once it has this many live shard nodes.
+    /// Live shard nodes that a region needs before its shards are created.
     pub first_nodes: u32,
 }
 
@@ -50,12 +50,12 @@
     }
 }
 
-/// The placement of every shard, new ones included.
+/// Returns the placement of all shards, including new ones.
 pub fn place_shards(
     map: &MemberMap,
     options: &PlacementOptions,
 ) -> BTreeMap<ShardId, ShardPlacement> {
-    let mut shards = with_new_shards(map, options);
+    let mut shards = add_missing_shards(map, options);
     let regions: BTreeSet<RegionName> = shards
         .values()
         .map(|placement| placement.region.clone())
@@ -63,15 +63,15 @@
     for region in regions {
         let mut table = RegionTable::new(map, &region, options.replicas as usize, &shards);
         table.fill_vacancies();
-        table.repair_zones();
-        table.level_replicas();
-        table.level_leaders();
+        table.separate_zones();
+        table.balance_replicas();
+        table.balance_leaders();
         table.write_back(&mut shards);
     }
     shards
 }
 
-fn with_new_shards(
+fn add_missing_shards(
     map: &MemberMap,
     options: &PlacementOptions,
 ) -> BTreeMap<ShardId, ShardPlacement> {
@@ -86,11 +86,11 @@
         let kept = shards
             .values()
             .filter(|placement| &placement.region == region);
-        let have = kept.count() as u32;
-        if have == 0 && nodes < options.first_nodes {
+        let existing = kept.count() as u32;
+        if existing == 0 && nodes < options.first_nodes {
             continue;
         }
-        for _ in have..options.shards_per_region {
+        for _ in existing..options.shards_per_region {
             let next = shards.keys().next_back().map_or(0, |last| last.0 + 1);
             let placement = ShardPlacement {
                 shard: ShardId(next),
@@ -105,10 +105,10 @@
     shards
 }
 
-/// The shards and live nodes of one region while placement works on them.
+/// Working state of placement: the shards and live nodes of one region.
 struct RegionTable<'a> {
     map: &'a MemberMap,
-    wanted: usize,
+    replication_factor: usize,
     zones: BTreeMap<NodeId, &'a ZoneName>,
     loads: BTreeMap<NodeId, usize>,
     shards: BTreeMap<ShardId, Vec<NodeId>>,
@@ -118,7 +118,7 @@
     fn new(
         map: &'a MemberMap,
         region: &RegionName,
-        wanted: usize,
+        replication_factor: usize,
         shards: &BTreeMap<ShardId, ShardPlacement>,
     ) -> RegionTable<'a> {
         let zones: BTreeMap<NodeId, &ZoneName> = map
@@ -134,7 +134,7 @@
             .collect();
         let mut table = RegionTable {
             map,
-            wanted,
+            replication_factor,
             loads: zones.keys().map(|node| (*node, 0)).collect(),
             zones,
             shards,
@@ -160,22 +160,22 @@
                 .copied()
                 .filter(|node| self.zones.contains_key(node))
                 .collect();
-            while kept.len() < self.wanted {
-                let Some(node) = self.candidate(shard, &kept) else {
+            while kept.len() < self.replication_factor {
+                let Some(node) = self.best_candidate(shard, &kept) else {
                     break;
                 };
                 kept.push(node);
                 *self.loads.entry(node).or_default() += 1;
             }
-            self.keep_unreplaced(&old, &mut kept);
+            self.retain_unreplaced(&old, &mut kept);
             self.shards.insert(shard, kept);
         }
     }
 
-    /// Where no live node can take a replica, the one that is down or leaving keeps its place.
-    fn keep_unreplaced(&self, old: &[NodeId], kept: &mut Vec<NodeId>) {
+    /// Keeps replicas on nodes that are down or leaving if no live node can replace them.
+    fn retain_unreplaced(&self, old: &[NodeId], kept: &mut Vec<NodeId>) {
         for node in old {
-            if kept.len() < self.wanted
+            if kept.len() < self.replication_factor
                 && !kept.contains(node)
                 && self.map.members.contains_key(node)
             {
@@ -184,48 +184,48 @@
         }
     }
 
-    fn candidate(&self, shard: ShardId, kept: &[NodeId]) -> Option<NodeId> {
+    fn best_candidate(&self, shard: ShardId, kept: &[NodeId]) -> Option<NodeId> {
         let key = format!("shard-{shard}");
         let free = self.zones.keys().copied().filter(|n| !kept.contains(n));
         free.min_by_key(|node| {
-            let zone_taken = self.zone_taken(self.zones[node], kept);
+            let zone_in_use = self.zone_in_use(self.zones[node], kept);
             let score = rendezvous::score(&key, *node);
-            (zone_taken, self.loads[node], Reverse(score))
+            (zone_in_use, self.loads[node], Reverse(score))
         })
     }
 
-    fn zone_taken(&self, zone: &ZoneName, replicas: &[NodeId]) -> bool {
+    fn zone_in_use(&self, zone: &ZoneName, replicas: &[NodeId]) -> bool {
         replicas
             .iter()
             .any(|node| self.zones.get(node).is_some_and(|taken| *taken == zone))
     }
 
-    /// Moves replicas that share a zone into a zone the shard does not use yet.
-    fn repair_zones(&mut self) {
+    /// Moves replicas that share a zone to zones without a replica of the shard.
+    fn separate_zones(&mut self) {
         let ids: Vec<ShardId> = self.shards.keys().copied().collect();
         for shard in ids {
-            while let Some(doubled) = self.doubled_replica(shard) {
-                let others: Vec<NodeId> = self.without(shard, doubled);
-                let Some(node) = self.candidate(shard, &others) else {
+            while let Some(redundant) = self.replica_in_shared_zone(shard) {
+                let others: Vec<NodeId> = self.replicas_except(shard, redundant);
+                let Some(node) = self.best_candidate(shard, &others) else {
                     break;
                 };
-                if self.zone_taken(self.zones[&node], &others) {
+                if self.zone_in_use(self.zones[&node], &others) {
                     break;
                 }
-                self.replace(shard, doubled, node);
+                self.replace(shard, redundant, node);
             }
         }
     }
 
-    fn doubled_replica(&self, shard: ShardId) -> Option<NodeId> {
+    fn replica_in_shared_zone(&self, shard: ShardId) -> Option<NodeId> {
         let replicas = &self.shards[&shard];
         replicas.iter().rev().copied().find(|node| {
             let zone = self.zones.get(node);
-            zone.is_some_and(|zone| self.zone_taken(zone, &self.without(shard, *node)))
+            zone.is_some_and(|zone| self.zone_in_use(zone, &self.replicas_except(shard, *node)))
         })
     }
 
-    fn without(&self, shard: ShardId, node: NodeId) -> Vec<NodeId> {
+    fn replicas_except(&self, shard: ShardId, node: NodeId) -> Vec<NodeId> {
         let replicas = self.shards[&shard].iter().copied();
         replicas.filter(|other| *other != node).collect()
     }
@@ -241,13 +241,13 @@
         *self.loads.entry(to).or_default() += 1;
     }
 
-    fn level_replicas(&mut self) {
-        while let Some((shard, from, to)) = self.levelling_move() {
+    fn balance_replicas(&mut self) {
+        while let Some((shard, from, to)) = self.balancing_move() {
             self.replace(shard, from, to);
         }
     }
 
-    fn levelling_move(&self) -> Option<(ShardId, NodeId, NodeId)> {
+    fn balancing_move(&self) -> Option<(ShardId, NodeId, NodeId)> {
         let mut by_load: Vec<(usize, NodeId)> = self
             .loads
             .iter()
@@ -256,7 +256,7 @@
         by_load.sort();
         for (high, from) in by_load.iter().rev() {
             for (low, to) in &by_load {
-                if low + GAP_WORTH_MOVING > *high {
+                if low + MIN_IMBALANCE > *high {
                     break;
                 }
                 if let Some(shard) = self.movable_shard(*from, *to) {
@@ -267,22 +267,22 @@
         None
     }
 
-    /// The shard, best scored for `to`, whose replica may move without losing a zone.
+    /// Returns the shard with the highest score for `to` whose replica can move without losing a zone.
     fn movable_shard(&self, from: NodeId, to: NodeId) -> Option<ShardId> {
-        let fits = |shard: &ShardId| {
-            let others = self.without(*shard, from);
+        let is_movable = |shard: &ShardId| {
+            let others = self.replicas_except(*shard, from);
             let held = self.shards[shard].contains(&from) && !others.contains(&to);
-            held && (!self.zone_taken(self.zones[&to], &others)
-                || self.zone_taken(self.zones[&from], &others))
+            held && (!self.zone_in_use(self.zones[&to], &others)
+                || self.zone_in_use(self.zones[&from], &others))
         };
         self.shards
             .keys()
             .copied()
-            .filter(fits)
+            .filter(is_movable)
             .max_by_key(|shard| rendezvous::score(&format!("shard-{shard}"), to))
     }
 
-    fn level_leaders(&mut self) {
+    fn balance_leaders(&mut self) {
         let mut leaders: BTreeMap<NodeId, usize> =
             self.loads.keys().map(|node| (*node, 0)).collect();
         for replicas in self.shards.values_mut() {
@@ -291,12 +291,12 @@
                 *count += 1;
             }
         }
-        while let Some((shard, place)) = self.leader_swap(&leaders) {
+        while let Some((shard, position)) = self.leader_swap(&leaders) {
             let Some(replicas) = self.shards.get_mut(&shard) else {
                 return;
             };
-            replicas.swap(0, place);
-            *leaders.entry(replicas[place]).or_default() -= 1;
+            replicas.swap(0, position);
+            *leaders.entry(replicas[position]).or_default() -= 1;
             *leaders.entry(replicas[0]).or_default() += 1;
         }
     }
@@ -306,12 +306,12 @@
             let Some(high) = replicas.first().and_then(|node| leaders.get(node)) else {
                 continue;
             };
-            let place = replicas.iter().position(|node| {
+            let position = replicas.iter().position(|node| {
                 let count = leaders.get(node);
-                count.is_some_and(|low| low + GAP_WORTH_MOVING <= *high)
+                count.is_some_and(|low| low + MIN_IMBALANCE <= *high)
             });
-            if let Some(place) = place {
-                return Some((*shard, place));
+            if let Some(position) = position {
+                return Some((*shard, position));
             }
         }
         None
@@ -327,8 +327,8 @@
 }
 
 fn move_live_first(replicas: &mut [NodeId], live: &BTreeMap<NodeId, &ZoneName>) {
-    if let Some(place) = replicas.iter().position(|node| live.contains_key(node)) {
-        replicas.swap(0, place);
+    if let Some(position) = replicas.iter().position(|node| live.contains_key(node)) {
+        replicas.swap(0, position);
     }
 }
 
--- a/crates/courseshed-membership/src/placement_tests.rs
+++ b/crates/courseshed-membership/src/placement_tests.rs
@@ -1,4 +1,4 @@
-//! Placement keeps zones apart, loads level and moves little.
+//! Tests for zone separation, load balance and minimal movement in shard placement.
 
 use courseshed_types::{
     Incarnation,
@@ -8,7 +8,7 @@
 
 use super::*;
 
-/// A map of live nodes that play every part.
+/// A map of live nodes with the gateway, shard and dispatcher roles.
 pub(crate) fn fleet(regions: u32, zones: u32, nodes_per_zone: u32) -> MemberMap {
     let mut map = MemberMap::default();
     for region in 0..regions {
@@ -65,7 +65,7 @@
     leaders
 }
 
-fn moved(before: &MemberMap, after: &MemberMap) -> usize {
+fn moved_replicas(before: &MemberMap, after: &MemberMap) -> usize {
     let new_in = |(shard, placement): (&ShardId, &ShardPlacement)| {
         let old = &before.shards[shard].replicas;
         placement
@@ -83,14 +83,14 @@
 }
 
 #[test]
-fn a_fleet_of_one_keeps_everything_itself() {
+fn single_node_holds_all_replicas() {
     let mut map = fleet(1, 1, 1);
     place(&mut map, 4);
     assert!(map.shards.values().all(|p| p.replicas == [NodeId(1)]));
 }
 
 #[test]
-fn shards_wait_for_the_first_nodes() {
+fn shards_are_created_once_enough_nodes_are_live() {
     let map = fleet(1, 2, 1);
     let options = PlacementOptions {
         first_nodes: 3,
@@ -100,19 +100,19 @@
 }
 
 #[test]
-fn a_lost_node_that_nobody_can_replace_keeps_its_place() {
+fn down_node_without_replacement_keeps_its_replicas() {
     let mut map = fleet(1, 3, 1);
     place(&mut map, 8);
     map.members.get_mut(&NodeId(2)).expect("member").state = NodeState::Down;
     let before = map.clone();
     place(&mut map, 8);
-    assert_eq!(moved(&before, &map), 0);
+    assert_eq!(moved_replicas(&before, &map), 0);
     assert!(map.shards.values().all(|p| p.replicas.len() == 3));
     assert!(map.shards.values().all(|p| p.replicas[0] != NodeId(2)));
 }
 
 #[test]
-fn a_lost_zone_is_refilled_from_the_others() {
+fn replicas_of_a_lost_zone_move_to_other_zones() {
     let mut map = fleet(1, 4, 3);
     place(&mut map, 32);
     for member in map.members.values_mut() {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn growing_the_number_of_shards_moves_none_of_the_old() {
+fn adding_shards_keeps_existing_shards_in_their_region() {
     let mut map = fleet(2, 3, 3);
     place(&mut map, 12);
     let before = map.clone();
@@ -146,7 +146,7 @@
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn zones_are_distinct_and_loads_level(zones in 3u32..6, per_zone in 1u32..8, shards in 1u32..64) {
+    fn replicas_use_distinct_zones_and_loads_are_balanced(zones in 3u32..6, per_zone in 1u32..8, shards in 1u32..64) {
         let mut map = fleet(1, zones, per_zone);
         place(&mut map, shards);
         for placement in map.shards.values() {
@@ -160,31 +160,31 @@
     }
 
     #[test]
-    fn a_node_that_goes_moves_little_beside_its_own(zones in 4u32..6, per_zone in 2u32..6, lost in 1u32..9) {
+    fn losing_a_node_moves_few_other_replicas(zones in 4u32..6, per_zone in 2u32..6, lost in 1u32..9) {
         let mut map = fleet(1, zones, per_zone);
         place(&mut map, 48);
         let before = map.clone();
         let held = loads(&map)[&NodeId(lost)];
         map.members.get_mut(&NodeId(lost)).expect("member").state = NodeState::Down;
         place(&mut map, 48);
-        prop_assert!(moved(&before, &map) <= held * 3 / 2, "{} of {held}", moved(&before, &map));
+        prop_assert!(moved_replicas(&before, &map) <= held * 3 / 2, "{} of {held}", moved_replicas(&before, &map));
     }
 
     #[test]
-    fn a_node_that_comes_takes_no_more_than_an_even_part(zones in 3u32..6, per_zone in 1u32..6) {
+    fn new_node_receives_at_most_an_even_share(zones in 3u32..6, per_zone in 1u32..6) {
         let mut map = fleet(1, zones, per_zone);
         place(&mut map, 48);
         let before = map.clone();
-        let newcomer = NodeId(1_000);
-        map.members.insert(newcomer, member(newcomer, 0, 0));
+        let new_node = NodeId(1_000);
+        map.members.insert(new_node, member(new_node, 0, 0));
         place(&mut map, 48);
         let even = (48 * 3usize).div_ceil(map.members.len());
-        prop_assert!(loads(&map)[&newcomer] <= even);
-        prop_assert!(moved(&before, &map) <= 2 * even, "{} moved", moved(&before, &map));
+        prop_assert!(loads(&map)[&new_node] <= even);
+        prop_assert!(moved_replicas(&before, &map) <= 2 * even, "{} replicas moved", moved_replicas(&before, &map));
     }
 
     #[test]
-    fn placing_twice_changes_nothing(zones in 1u32..6, per_zone in 1u32..6, shards in 1u32..40) {
+    fn placement_is_idempotent(zones in 1u32..6, per_zone in 1u32..6, shards in 1u32..40) {
         let mut map = fleet(2, zones, per_zone);
         place(&mut map, shards);
         let before = map.clone();
--- a/crates/courseshed-membership/src/rendezvous.rs
+++ b/crates/courseshed-membership/src/rendezvous.rs
@@ -1,18 +1,18 @@
 //! Rendezvous (highest random weight) hashing, after Thaler and Ravishankar, "Using name-based mappings to increase
 //! hit rates" (1998).
 //!
-//! Every node scores every candidate for a key and takes the highest. When a candidate goes, only the keys it held
-//! move; when one comes, it takes an even part from the others.
+//! The candidate with the highest score for a key owns it. Removing a candidate moves only its own keys; a new one
+//! takes an even share from the others.
 
 use courseshed_types::NodeId;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
-/// The score of a node for a key; higher is preferred.
+/// Returns the score of a node for a key; higher is preferred.
 pub fn score(key: &str, node: NodeId) -> u64 {
     xxh3_64_with_seed(key.as_bytes(), u64::from(node.0))
 }
 
-/// The candidates from the most to the least preferred for a key.
+/// Returns the candidates for a key, most preferred first.
 pub fn ranked(key: &str, candidates: impl IntoIterator<Item = NodeId>) -> Vec<NodeId> {
     let mut nodes: Vec<NodeId> = candidates.into_iter().collect();
     nodes.sort_by_key(|node| (std::cmp::Reverse(score(key, *node)), *node));
@@ -20,7 +20,7 @@
     nodes
 }
 
-/// The most preferred candidate for a key.
+/// Returns the most preferred candidate for a key.
 pub fn preferred(key: &str, candidates: impl IntoIterator<Item = NodeId>) -> Option<NodeId> {
     candidates
         .into_iter()
@@ -49,7 +49,7 @@
     }
 
     #[test]
-    fn only_the_keys_of_a_lost_node_move() {
+    fn only_keys_of_the_removed_node_move() {
         let lost = NodeId(4);
         let rest: Vec<NodeId> = nodes(10).into_iter().filter(|node| *node != lost).collect();
         for key in 0..KEYS {
@@ -61,7 +61,7 @@
     }
 
     #[test]
-    fn keys_spread_evenly() {
+    fn keys_are_distributed_evenly() {
         let mut counts = [0u32; 10];
         for key in 0..KEYS {
             let node = preferred(&key.to_string(), nodes(10)).expect("candidates");
--- a/crates/courseshed-membership/src/selection.rs
+++ b/crates/courseshed-membership/src/selection.rs
@@ -1,8 +1,8 @@
-//! Who decides for a pool, and who relays control traffic for a zone.
+//! Selection of the dispatcher of a pool and of the control relay of a zone.
 //!
-//! Both are chosen by rendezvous hash over the live members, so nodes that have the same member map agree without
-//! asking. While maps differ, two nodes may act at once: dispatchers hold soft state only and shards commit every
-//! dispatch, and relays hand out no more than what is left of their own settings lease, so that is harmless.
+//! Both are chosen by rendezvous hashing over the live members, so nodes with the same member map agree without
+//! coordination. While maps differ, two nodes may act at the same time. This is safe: dispatchers hold only soft state
+//! and shards commit every dispatch, and relays grant no more than the remainder of their own settings lease.
 
 use std::collections::BTreeSet;
 
@@ -14,15 +14,15 @@
 
 use crate::rendezvous;
 
-/// The dispatcher of a pool, among the live nodes, or the leaving ones if there are no others; none if the region has
-/// no dispatcher that is not down.
+/// Returns the dispatcher of a pool. Live nodes take precedence over leaving ones; `None` if all dispatchers of the
+/// region are down.
 pub fn dispatcher_for(pool: &PoolId, map: &MemberMap) -> Option<NodeId> {
     dispatcher_for_reachable(pool, map, &BTreeSet::new())
 }
 
-/// The dispatcher of a pool, passing over nodes that the caller itself can't reach.
+/// Returns the dispatcher of a pool, excluding nodes that the caller can't reach.
 ///
-/// Meant for a region cut off from the controllers, where the member map can't be corrected.
+/// For regions partitioned from the controllers, where the member map is not updated.
 pub fn dispatcher_for_reachable(
     pool: &PoolId,
     map: &MemberMap,
@@ -37,12 +37,12 @@
             .filter(|node| !unreachable.contains(node))
     };
     let preferred = |state| rendezvous::preferred(&pool_key(pool), in_state(state));
-    // Calls that wait must be decided about to the end, also where no node stays.
+    // Queued calls still need a dispatcher while all nodes of a region are leaving.
     preferred(NodeState::Live).or_else(|| preferred(NodeState::Leaving))
 }
 
-/// The live nodes of a zone from the most to the least preferred as relay. Controllers are none: they answer for
-/// themselves.
+/// Returns the live nodes of a zone in order of preference as relay. Controllers are excluded, since they answer
+/// requests as controllers.
 pub fn relays_for(zone: &ZoneName, map: &MemberMap) -> Vec<NodeId> {
     let candidates = map
         .members
@@ -53,7 +53,7 @@
     rendezvous::ranked(zone.as_str(), candidates)
 }
 
-/// The relay of a zone; none if no node of it is live.
+/// Returns the relay of a zone, or `None` if the zone has no live node that can relay.
 pub fn relay_for(zone: &ZoneName, map: &MemberMap) -> Option<NodeId> {
     relays_for(zone, map).first().copied()
 }
@@ -77,7 +77,7 @@
     }
 
     #[test]
-    fn pools_stay_in_their_region() {
+    fn dispatcher_is_in_the_region_of_the_pool() {
         let map = fleet(2, 3, 4);
         for model in 0..20 {
             let node = dispatcher_for(&pool(model), &map).expect("live dispatchers");
@@ -86,7 +86,7 @@
     }
 
     #[test]
-    fn the_last_dispatcher_of_a_region_decides_while_it_leaves() {
+    fn leaving_dispatcher_is_used_only_without_live_ones() {
         let mut map = fleet(1, 1, 2);
         for member in map.members.values_mut() {
             member.state = NodeState::Leaving;
@@ -103,20 +103,20 @@
     }
 
     #[test]
-    fn a_pool_moves_only_when_its_dispatcher_goes() {
+    fn pool_moves_only_when_its_dispatcher_is_unavailable() {
         let map = fleet(1, 3, 4);
         let before: Vec<_> = (0..40)
             .map(|model| dispatcher_for(&pool(model), &map))
             .collect();
-        let gone = before[0].expect("live dispatchers");
+        let unavailable = before[0].expect("live dispatchers");
         let mut smaller = map.clone();
-        smaller.members.get_mut(&gone).expect("member").state = NodeState::Leaving;
+        smaller.members.get_mut(&unavailable).expect("member").state = NodeState::Leaving;
         for (model, old) in before.iter().enumerate() {
             let new = dispatcher_for(&pool(model as u32), &smaller);
-            assert_ne!(new, Some(gone));
-            assert!(*old == Some(gone) || *old == new);
+            assert_ne!(new, Some(unavailable));
+            assert!(*old == Some(unavailable) || *old == new);
         }
-        let unreachable = BTreeSet::from([gone]);
+        let unreachable = BTreeSet::from([unavailable]);
         assert_eq!(
             dispatcher_for_reachable(&pool(0), &map, &unreachable),
             dispatcher_for(&pool(0), &smaller)
@@ -124,7 +124,7 @@
     }
 
     #[test]
-    fn a_zone_without_live_nodes_has_no_relay() {
+    fn zone_without_live_nodes_has_no_relay() {
         let mut map = fleet(1, 2, 2);
         let zone = ZoneName::from("r0-z0");
         assert!(relay_for(&zone, &map).is_some());
--- a/crates/courseshed-membership/src/spread_tests.rs
+++ b/crates/courseshed-membership/src/tenant_shards_tests.rs
@@ -1,10 +1,10 @@
-//! Tests of the spread of tenants over shards.
+//! Tests for the assignment of tenants to shards.
 
 use std::collections::BTreeMap;
 
 use courseshed_types::{BranchPath, ShardId};
 
-use crate::spread::{SHARDS_OF_TENANT, shards_of_tenant};
+use crate::tenant_shards::{SHARDS_OF_TENANT, shards_of_tenant};
 
 const SHARDS: u32 = 220;
 const TENANTS: u32 = 550;
@@ -18,25 +18,25 @@
 }
 
 #[test]
-fn branches_of_a_tenant_share_its_shards() {
-    let above = shards_of_tenant(&branch("tenant"), shards(SHARDS));
-    let below = shards_of_tenant(&branch("tenant/team/nightly"), shards(SHARDS));
-    assert_eq!(above, below);
-    assert_eq!(above.len(), SHARDS_OF_TENANT);
+fn all_branches_of_a_tenant_use_the_same_shards() {
+    let parent_shards = shards_of_tenant(&branch("tenant"), shards(SHARDS));
+    let child_shards = shards_of_tenant(&branch("tenant/team/nightly"), shards(SHARDS));
+    assert_eq!(parent_shards, child_shards);
+    assert_eq!(parent_shards.len(), SHARDS_OF_TENANT);
 }
 
 #[test]
-fn a_small_region_is_used_whole() {
-    let few: Vec<ShardId> = shards(9).collect();
-    assert_eq!(shards_of_tenant(&branch("tenant"), shards(9)), few);
+fn small_region_uses_all_shards() {
+    let all_shards: Vec<ShardId> = shards(9).collect();
+    assert_eq!(shards_of_tenant(&branch("tenant"), shards(9)), all_shards);
 }
 
 #[test]
-fn tenants_load_the_shards_alike() {
+fn tenants_are_distributed_evenly() {
     let mut tenants: BTreeMap<ShardId, u32> = BTreeMap::new();
     for tenant in 0..TENANTS {
-        let of_tenant = shards_of_tenant(&branch(&format!("tenant-{tenant}")), shards(SHARDS));
-        for shard in of_tenant {
+        let tenant_shards = shards_of_tenant(&branch(&format!("tenant-{tenant}")), shards(SHARDS));
+        for shard in tenant_shards {
             *tenants.entry(shard).or_default() += 1;
         }
     }
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_shard_more_moves_at_most_one_shard_of_a_tenant() {
+fn adding_a_shard_replaces_at_most_one_shard_of_a_tenant() {
     for tenant in 0..TENANTS {
         let branch = branch(&format!("tenant-{tenant}"));
         let before = shards_of_tenant(&branch, shards(SHARDS));
