--- a/crates/courseshed-control/src/command.rs
+++ b/crates/courseshed-control/src/command.rs
@@ -1,4 +1,4 @@
-//! The commands of the controller's replicated log.
+//! Commands of the controllers' replicated log.
 
 use std::sync::Arc;
 
@@ -12,101 +12,101 @@
 
 use crate::state::FleetOptions;
 
-/// A command could not be written or read.
+/// A command could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum CommandError {
-    /// It could not be written.
+    /// Encoding failed.
     #[snafu(display("the control command can't be encoded: {source}"))]
     Encode {
-        /// What MessagePack says.
+        /// The MessagePack error.
         source: rmp_serde::encode::Error,
     },
-    /// It could not be read.
+    /// Decoding failed.
     #[snafu(display("the control command can't be decoded: {source}"))]
     Decode {
-        /// What MessagePack says.
+        /// The MessagePack error.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// Who proposed a command, so that the proposer finds its answer when the command is applied.
+/// Identifies a proposal, so that the proposer can answer its request when the command is applied.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct CommandOrigin {
-    /// The controller that proposed.
+    /// The proposing controller.
     pub node: NodeId,
-    /// Its number for the proposal, unique over its restarts.
+    /// Proposal number, unique across restarts of the controller.
     pub serial: u64,
 }
 
-/// One entry of the controller's log.
+/// An entry of the controllers' log.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct ControlCommand {
-    /// When the leader proposed it; the only clock the state machine knows.
+    /// Time of the proposal; the state machine uses no other clock.
     pub at: Timestamp,
-    /// Who proposed it.
+    /// The proposal that created the entry.
     pub origin: CommandOrigin,
-    /// What changes.
+    /// The change to apply.
     pub body: CommandBody,
 }
 
-/// What a command changes.
+/// The change made by a command.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum CommandBody {
-    /// Sets how shards are placed.
+    /// Sets the fleet options.
     Configure(FleetOptions),
     /// Changes the settings tree.
     ApplySettings {
-        /// The change asked for.
+        /// The requested change.
         change: SettingsChange,
-        /// The tree compiled by the proposer, at the version that follows the expected one.
+        /// The policy compiled by the proposer, at the version after the expected one.
         policy: Arc<PolicySnapshot>,
     },
-    /// A node is new, restarted, changed or heard again.
+    /// Registers a node that is new, restarted, changed or reachable again.
     RegisterNode(Member),
-    /// A node was silent for longer than the failure timeout.
+    /// Marks a node down that was silent for longer than the failure timeout.
     NodeDown {
         /// The node.
         node: NodeId,
-        /// The start that was silent; a later start is not meant.
+        /// The silent incarnation; the command does not apply to later ones.
         incarnation: Incarnation,
     },
-    /// A node hands over and stops, until it starts again.
+    /// Marks a node leaving while it shuts down, until it restarts.
     NodeLeaving(NodeId),
-    /// An operator marks a node leaving, over its restarts, or live again.
+    /// Starts or ends an operator's drain of a node; a drain persists across restarts of the node.
     DrainNode {
         /// The node.
         node: NodeId,
-        /// Whether it leaves.
+        /// `true` to drain, `false` to end the drain.
         leaving: bool,
     },
-    /// A node that has been down for long is forgotten.
+    /// Removes a node that has been down for a long time.
     NodeGone(NodeId),
-    /// Who votes in a shard's log.
+    /// Updates the voters of a shard's log.
     ReportVoters(ShardVoters),
-    /// The engines that exist now.
+    /// Replaces the list of engines.
     SetEngines(Vec<EngineMember>),
-    /// An operator marks an engine leaving, whatever the list of engines says, or live again.
+    /// Starts or ends an operator's drain of an engine; a drain overrides the list of engines.
     DrainEngine {
         /// The engine.
         engine: EngineId,
-        /// Whether it leaves.
+        /// `true` to drain, `false` to end the drain.
         leaving: bool,
     },
-    /// A fence for an order to an engine.
+    /// Issues a fencing token for a command to an engine.
     TakeFence(EngineId),
-    /// Escrow for a shard.
+    /// Grants budget escrow to a shard.
     Grant(GrantRequest),
-    /// Unspent escrow comes back.
+    /// Returns unspent escrow.
     ReturnGrant(GrantReturn),
 }
 
 impl ControlCommand {
-    /// The bytes for the log.
+    /// Encodes the command as a log entry.
     pub fn encode(&self) -> Result<Vec<u8>, CommandError> {
         rmp_serde::to_vec(self).context(EncodeSnafu)
     }
 
-    /// Reads the bytes of the log.
+    /// Decodes a log entry.
     pub fn decode(bytes: &[u8]) -> Result<ControlCommand, CommandError> {
         rmp_serde::from_slice(bytes).context(DecodeSnafu)
     }
--- a/crates/courseshed-control/src/compiler.rs
+++ b/crates/courseshed-control/src/compiler.rs
@@ -1,13 +1,13 @@
-//! Turns the text of a settings tree into a policy.
+//! Compilation of a settings tree into a policy.
 //!
-//! The leader compiles before it proposes, and the command carries the result, so that replicas of different
-//! releases never disagree on what a tree means.
+//! The leader compiles the tree before proposing it, and the command contains the result, so that replicas running
+//! different releases apply the same policy.
 
 use courseshed_types::{PolicySnapshot, SettingsVersion};
 
-/// Checks and compiles settings trees.
+/// Validates and compiles settings trees.
 pub trait TreeCompiler {
-    /// The policy of a tree at a version, or all problems of the tree, one sentence each.
+    /// Returns the policy of a tree at a version, or all errors of the tree, one sentence each.
     fn compile(&self, tree: &str, version: SettingsVersion) -> Result<PolicySnapshot, Vec<String>>;
 }
 
--- a/crates/courseshed-control/src/lib.rs
+++ b/crates/courseshed-control/src/lib.rs
@@ -1,15 +1,15 @@
 //! The controller: settings versions, member map, shard placement and budget grants.
 //!
-//! Three parts, all free of I/O:
+//! The crate has three main components, all free of I/O:
 //!
 //! - [`state::ControlState`] is the replicated state machine; every controller applies the same commands to it.
-//! - [`leader::ControlLeader`] is the soft logic of the controller that leads: it hears nodes, proposes commands
-//!   and answers requests.
-//! - [`node::NodeControlView`] is what every node runs: it keeps the newest settings and member map, holds the
-//!   settings lease, and relays for its zone.
+//! - [`leader::ControlLeader`] implements the leading controller: it processes heartbeats, proposes commands and
+//!   answers requests. Its state is not replicated.
+//! - [`node::NodeControlView`] runs on every node: it stores the newest settings and member map, holds the settings
+//!   lease, and relays control traffic for its zone.
 //!
-//! The promises: an accepted version never goes down, on no node, over no restart; a node whose settings lease has
-//! run out starts nothing new unless the branch says to go on; the sum of grants never exceeds a budget.
+//! Guarantees: the settings version in force on a node never decreases, even across restarts; a node whose settings
+//! lease has expired starts no new work unless the branch allows it; the sum of grants never exceeds a budget.
 
 pub mod command;
 pub mod compiler;
@@ -26,8 +26,8 @@
 pub use node::{ControlTarget, ControllerSeed, NodeControlView, ViewOptions, ViewOutput};
 pub use state::{Applied, ApplyOutcome, ControlState, FleetOptions};
 
-/// Entries that controllers keep in memory behind a snapshot of their log, for followers that are a little late.
+/// Log entries that controllers retain in memory before the latest snapshot, for followers that lag slightly.
 ///
-/// A change of settings carries the whole tree and policy, hundreds of kilobytes at the size the project is designed
-/// for, so a memory of many entries would weigh hundreds of megabytes. A follower that lacks more gets the snapshot.
+/// Kept small because every settings change contains the whole tree and policy. Followers that lag further receive
+/// the snapshot.
 pub const LOG_ENTRIES_RETAINED: u64 = 64;
--- a/crates/courseshed-control/src/publish.rs
+++ b/crates/courseshed-control/src/publish.rs
@@ -1,8 +1,8 @@
-//! The newest policy and member map, and what is needed to tell others only what changed.
+//! The newest policy and member map, with a change log for computing deltas.
 //!
-//! Controllers and relays publish alike: each remembers which entries its latest steps touched, and makes a delta
-//! from the asker's position by collecting the touched entries since then and taking their present values. A
-//! position older than the memory gets the whole. Versions and epochs never go down here.
+//! Controllers and relays record which entries each recent revision changed. A delta from a requester's position
+//! contains the current values of all entries changed since. A position older than the change log receives the full
+//! policy or map. Versions and epochs never decrease.
 
 use std::{
     collections::{BTreeSet, VecDeque},
@@ -18,55 +18,58 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// Steps remembered for deltas; a step is one change seen, or several that came at once.
-const STEPS_REMEMBERED: usize = 512;
-/// Entries over all steps beyond which the oldest steps are forgotten.
-const ENTRIES_REMEMBERED: usize = 8_192;
+/// Maximum number of revisions in the change log; a revision covers one or several changes received together.
+const MAX_REVISIONS: usize = 512;
+/// Maximum number of changed entries in the change log over all revisions.
+const MAX_CHANGED_ENTRIES: usize = 8_192;
 
-/// Which entries each of the latest steps touched.
+/// The entries changed by each recent revision.
 #[derive(Debug, Clone)]
 struct ChangeLog<K> {
-    steps: VecDeque<Step<K>>,
+    revisions: VecDeque<Revision<K>>,
     entries: usize,
-    /// The oldest version from which a delta can be made.
-    known_from: u64,
+    /// The oldest version from which a delta can be computed.
+    oldest_base: u64,
 }
 
 #[derive(Debug, Clone)]
-struct Step<K> {
+struct Revision<K> {
     to: u64,
-    touched: Vec<K>,
+    changed: Vec<K>,
 }
 
 impl<K: Ord + Clone> ChangeLog<K> {
-    fn starting_at(version: u64) -> ChangeLog<K> {
+    fn with_base(version: u64) -> ChangeLog<K> {
         ChangeLog {
-            steps: VecDeque::new(),
+            revisions: VecDeque::new(),
             entries: 0,
-            known_from: version,
+            oldest_base: version,
         }
     }
 
-    fn push(&mut self, to: u64, touched: Vec<K>) {
-        self.entries += touched.len();
-        self.steps.push_back(Step { to, touched });
-        while self.steps.len() > STEPS_REMEMBERED || self.entries > ENTRIES_REMEMBERED {
-            let Some(forgotten) = self.steps.pop_front() else {
+    fn push(&mut self, to: u64, changed: Vec<K>) {
+        self.entries += changed.len();
+        self.revisions.push_back(Revision { to, changed });
+        while self.revisions.len() > MAX_REVISIONS || self.entries > MAX_CHANGED_ENTRIES {
+            let Some(evicted) = self.revisions.pop_front() else {
                 return;
             };
-            self.entries -= forgotten.touched.len();
-            self.known_from = forgotten.to;
+            self.entries -= evicted.changed.len();
+            self.oldest_base = evicted.to;
         }
     }
 
-    fn touched_since(&self, version: u64) -> Option<BTreeSet<K>> {
-        if version < self.known_from {
+    fn changed_since(&self, version: u64) -> Option<BTreeSet<K>> {
+        if version < self.oldest_base {
             return None;
         }
-        let steps = self.steps.iter().filter(|step| step.to > version);
+        let revisions = self
+            .revisions
+            .iter()
+            .filter(|revision| revision.to > version);
         Some(
-            steps
-                .flat_map(|step| step.touched.iter().cloned())
+            revisions
+                .flat_map(|revision| revision.changed.iter().cloned())
                 .collect(),
         )
     }
@@ -79,16 +82,16 @@
     Engine(EngineId),
 }
 
-/// What came of an update.
+/// The parts of an update that were accepted.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Accepted {
-    /// The policy is newer than before.
+    /// The policy was replaced by a newer one.
     pub policy: bool,
-    /// The member map is newer than before.
+    /// The member map was replaced by a newer one.
     pub map: bool,
 }
 
-/// The newest policy and member map with the memory of their latest changes.
+/// The newest policy and member map with their change logs.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 #[serde(from = "PublishedParts", into = "PublishedParts")]
 pub struct Published {
@@ -130,11 +133,11 @@
 }
 
 impl Published {
-    /// Starts from a policy and a map, without memory of what led to them.
+    /// Creates the published state from a policy and a map, with empty change logs.
     pub fn new(policy: Arc<PolicySnapshot>, map: Arc<MemberMap>) -> Published {
         Published {
-            policy_log: ChangeLog::starting_at(policy.version.0),
-            map_log: ChangeLog::starting_at(map.epoch.0),
+            policy_log: ChangeLog::with_base(policy.version.0),
+            map_log: ChangeLog::with_base(map.epoch.0),
             policy,
             map,
         }
@@ -150,7 +153,7 @@
         &self.map
     }
 
-    /// The version and epoch of what is published.
+    /// The published version and epoch.
     pub fn position(&self) -> ControlPosition {
         ControlPosition {
             settings: self.policy.version,
@@ -158,31 +161,31 @@
         }
     }
 
-    /// Takes a policy if it is newer; whether it was.
+    /// Replaces the policy if the given one is newer; returns whether it was.
     pub fn set_policy(&mut self, policy: Arc<PolicySnapshot>) -> bool {
         if policy.version <= self.policy.version {
             return false;
         }
-        let touched = touched_branches(&self.policy, &policy);
-        self.policy_log.push(policy.version.0, touched);
+        let changed_keys = changed_branches(&self.policy, &policy);
+        self.policy_log.push(policy.version.0, changed_keys);
         self.policy = policy;
         true
     }
 
-    /// Takes a member map if it is newer; whether it was.
+    /// Replaces the member map if the given one is newer; returns whether it was.
     pub fn set_map(&mut self, map: Arc<MemberMap>) -> bool {
         if map.epoch <= self.map.epoch {
             return false;
         }
-        let touched = touched_entries(&self.map, &map);
-        self.map_log.push(map.epoch.0, touched);
+        let changed_keys = changed_entries(&self.map, &map);
+        self.map_log.push(map.epoch.0, changed_keys);
         self.map = map;
         true
     }
 
-    /// Takes what an update holds; parts that are not newer, or deltas that do not fit, change nothing.
+    /// Applies an update; parts that are not newer and deltas from another base are ignored.
     ///
-    /// A map is never taken without the policy that came with it, so that the two stay of one moment of the log.
+    /// If the policy delta can't be applied, the map is rejected too, so that both reflect the same log position.
     pub fn accept(&mut self, update: &ControlUpdate) -> Accepted {
         let from_delta = || {
             let delta = update.policy_delta.as_ref()?;
@@ -203,7 +206,7 @@
         }
     }
 
-    /// What changed since a position.
+    /// Returns the changes since a position.
     pub fn update_since(&self, position: ControlPosition, lease: Duration) -> ControlUpdate {
         let mut update = ControlUpdate {
             position: self.position(),
@@ -229,7 +232,7 @@
     }
 
     fn policy_delta(&self, from: SettingsVersion) -> Option<PolicyDelta> {
-        let touched = self.policy_log.touched_since(from.0)?;
+        let changed_keys = self.policy_log.changed_since(from.0)?;
         let mut delta = PolicyDelta {
             from,
             to: self.policy.version,
@@ -237,7 +240,7 @@
             models: self.policy.models.clone(),
             ..PolicyDelta::default()
         };
-        for path in touched {
+        for path in changed_keys {
             match self.policy.branches.get(&path) {
                 Some(policy) => {
                     delta.changed.insert(path, policy.clone());
@@ -249,14 +252,14 @@
     }
 
     fn map_delta(&self, from: MapEpoch) -> Option<MapDelta> {
-        let touched = self.map_log.touched_since(from.0)?;
+        let changed_keys = self.map_log.changed_since(from.0)?;
         let mut delta = MapDelta {
             from,
             to: self.map.epoch,
             engines_epoch: self.map.engines.epoch,
             ..MapDelta::default()
         };
-        for key in touched {
+        for key in changed_keys {
             self.add_entry(&mut delta, key);
         }
         Some(delta)
@@ -285,7 +288,7 @@
     engines.find(|member| &member.engine == engine)
 }
 
-fn touched_branches(old: &PolicySnapshot, new: &PolicySnapshot) -> Vec<BranchPath> {
+fn changed_branches(old: &PolicySnapshot, new: &PolicySnapshot) -> Vec<BranchPath> {
     let changed = new
         .branches
         .iter()
@@ -300,20 +303,20 @@
         .collect()
 }
 
-fn touched_entries(old: &MemberMap, new: &MemberMap) -> Vec<MapKey> {
+fn changed_entries(old: &MemberMap, new: &MemberMap) -> Vec<MapKey> {
     let members = old.members.keys().chain(new.members.keys());
     let members = members.filter(|node| old.members.get(*node) != new.members.get(*node));
     let shards = old.shards.keys().chain(new.shards.keys());
     let shards = shards.filter(|shard| old.shards.get(*shard) != new.shards.get(*shard));
-    let mut touched: BTreeSet<MapKey> = members.map(|node| MapKey::Member(*node)).collect();
-    touched.extend(shards.map(|shard| MapKey::Shard(*shard)));
+    let mut changed_keys: BTreeSet<MapKey> = members.map(|node| MapKey::Member(*node)).collect();
+    changed_keys.extend(shards.map(|shard| MapKey::Shard(*shard)));
     if old.engines != new.engines {
-        touched.extend(touched_engines(old, new));
+        changed_keys.extend(changed_engines(old, new));
     }
-    touched.into_iter().collect()
+    changed_keys.into_iter().collect()
 }
 
-fn touched_engines(old: &MemberMap, new: &MemberMap) -> BTreeSet<MapKey> {
+fn changed_engines(old: &MemberMap, new: &MemberMap) -> BTreeSet<MapKey> {
     let by_id = |map: &MemberMap| -> std::collections::BTreeMap<EngineId, EngineMember> {
         let engines = map.engines.engines.iter();
         engines
