--- a/crates/courseshed-control/src/leader/requests.rs
+++ b/crates/courseshed-control/src/leader/requests.rs
@@ -104,7 +104,7 @@
         change: SettingsChange,
         state: &ControlState,
     ) -> LeaderOutput {
-        match state.settings().first_answer(&change) {
+        match state.settings().previous_result(&change) {
             Ok(Some(record)) => return reply(token, ControlReply::Settings(record)),
             Err(error) => return self.refuse_settings(token, error),
             Ok(None) => {}
--- a/crates/courseshed-control/src/state/founding.rs
+++ b/crates/courseshed-control/src/state/bootstrap.rs
@@ -1,8 +1,8 @@
-//! Which starts of which nodes found a shard, and when a shard has to be founded again.
+//! Bootstraps shards: selects the initial voters of each generation of a shard.
 //!
-//! Replicas of shards live in memory: a node that restarts has forgotten them. A shard whose voters all restarted is
-//! lost, and a new generation of it is founded, empty, by the replicas as they are now. As long as one of the voters
-//! last reported has not restarted, nothing is founded: that one may still lead, or be down and come back.
+//! Shard replicas are kept in memory and lost on restart. If all voters of a shard have restarted, its data is lost and
+//! its current replicas bootstrap a new, empty generation. No new generation is bootstrapped while any last reported
+//! voter has not restarted, because it may still lead, or be down and return.
 
 use std::collections::BTreeMap;
 
@@ -11,25 +11,25 @@
     control::{Member, MemberMap, ShardPlacement, ShardVoter},
 };
 
-/// Founds shards that have no generation yet or have lost it.
-pub(super) fn found_shards(map: &mut MemberMap) {
+/// Bootstraps shards that have no generation yet or whose generation is lost.
+pub(super) fn bootstrap_shards(map: &mut MemberMap) {
     let members = &map.members;
-    let is_same_start = |voter: &ShardVoter| {
+    let is_same_incarnation = |voter: &ShardVoter| {
         let member = members.get(&voter.node);
         member.is_some_and(|member| member.incarnation == voter.incarnation)
     };
     for placement in map.shards.values_mut() {
-        let is_lost = !placement.voters.iter().any(is_same_start);
+        let is_lost = !placement.voters.iter().any(is_same_incarnation);
         if is_lost && !placement.replicas.is_empty() {
-            found(placement, members);
+            start_generation(placement, members);
         }
     }
 }
 
-fn found(placement: &mut ShardPlacement, members: &BTreeMap<NodeId, Member>) {
-    let founders = placement.replicas.iter();
-    let founders = founders.filter_map(|node| members.get(node));
-    placement.voters = founders
+fn start_generation(placement: &mut ShardPlacement, members: &BTreeMap<NodeId, Member>) {
+    let initial_voters = placement.replicas.iter();
+    let initial_voters = initial_voters.filter_map(|node| members.get(node));
+    placement.voters = initial_voters
         .map(|member| ShardVoter {
             node: member.node,
             incarnation: member.incarnation,
@@ -60,7 +60,7 @@
         }
     }
 
-    fn founded() -> MemberMap {
+    fn bootstrapped_map() -> MemberMap {
         let mut map = MemberMap::default();
         for node in 1..=3 {
             map.members.insert(NodeId(node), member(node, 1));
@@ -73,38 +73,38 @@
             voters: Vec::new(),
         };
         map.shards.insert(ShardId(0), placement);
-        found_shards(&mut map);
+        bootstrap_shards(&mut map);
         map
     }
 
     fn restart(map: &mut MemberMap, node: u32) {
         map.members.insert(NodeId(node), member(node, 2));
-        found_shards(map);
+        bootstrap_shards(map);
     }
 
     #[test]
-    fn a_shard_is_founded_by_its_first_replicas() {
-        let placement = &founded().shards[&ShardId(0)];
+    fn shard_is_bootstrapped_by_its_initial_replicas() {
+        let placement = &bootstrapped_map().shards[&ShardId(0)];
         assert_eq!(placement.generation, 1);
         assert_eq!(placement.voters.len(), 3);
     }
 
     #[test]
-    fn a_shard_is_founded_again_only_when_every_voter_restarted() {
-        let mut map = founded();
+    fn new_generation_starts_only_after_all_voters_restarted() {
+        let mut map = bootstrapped_map();
         restart(&mut map, 1);
         restart(&mut map, 2);
         assert_eq!(map.shards[&ShardId(0)].generation, 1);
         restart(&mut map, 3);
         let placement = &map.shards[&ShardId(0)];
         assert_eq!(placement.generation, 2);
-        let starts = placement.voters.iter().map(|voter| voter.incarnation);
-        assert!(starts.eq([Incarnation(2); 3]));
+        let incarnations = placement.voters.iter().map(|voter| voter.incarnation);
+        assert!(incarnations.eq([Incarnation(2); 3]));
     }
 
     #[test]
-    fn voters_that_were_readmitted_keep_the_shard() {
-        let mut map = founded();
+    fn readmitted_voter_preserves_the_generation() {
+        let mut map = bootstrapped_map();
         restart(&mut map, 1);
         let placement = map.shards.get_mut(&ShardId(0)).expect("placed");
         placement.voters[0].incarnation = Incarnation(2);
--- a/crates/courseshed-control/src/state/fleet.rs
+++ b/crates/courseshed-control/src/state/fleet.rs
@@ -1,7 +1,7 @@
-//! Nodes, engines and shard placement: how commands change the member map.
+//! Commands that change the member map: nodes, engines and shard placement.
 //!
-//! Every change that makes a difference raises the epoch by one and places shards anew; a command that makes none
-//! leaves the epoch alone, so repeating is free.
+//! Every command recomputes the shard placement. The epoch increases by one if the map changed; commands without
+//! effect leave it unchanged and can be repeated.
 
 use std::{collections::BTreeSet, sync::Arc};
 
@@ -15,17 +15,17 @@
 
 use crate::{
     publish::Published,
-    state::{ApplyOutcome, FleetOptions, founding::found_shards},
+    state::{ApplyOutcome, FleetOptions, bootstrap::bootstrap_shards},
 };
 
 type Outcome = Result<ApplyOutcome, CallError>;
 
-/// What is known of the fleet beside the member map.
+/// Fleet state that is not part of the member map.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub(super) struct Fleet {
     options: Option<FleetOptions>,
     drained_nodes: BTreeSet<NodeId>,
-    /// Kept for engines that the list of engines does not name, since it lags and may name them again.
+    /// Includes engines that are missing from the list of engines, because it may be stale and include them again.
     drained_engines: BTreeSet<EngineId>,
 }
 
@@ -49,7 +49,7 @@
         let known = published.map().members.get(&member.node);
         if let Some(known) = known.filter(|known| known.incarnation > member.incarnation) {
             let message = format!(
-                "start {} of node {} is older than its start {}",
+                "incarnation {} of node {} is older than its registered incarnation {}",
                 member.incarnation, member.node, known.incarnation
             );
             return Err(CallError::not_run(ErrorCode::Forbidden, message));
@@ -100,7 +100,7 @@
         }
     }
 
-    /// Sets the state of a node that is not down; a node that is down stays down until it is heard.
+    /// Sets the state of a node unless it is down; a node stays down until its next heartbeat.
     fn set_node_state(
         &mut self,
         published: &mut Published,
@@ -119,7 +119,7 @@
         Ok(ApplyOutcome::Done)
     }
 
-    /// Forgets a node that is down and keeps no replica.
+    /// Removes a node that is down and holds no replicas.
     pub(super) fn node_gone(&mut self, published: &mut Published, node: NodeId) -> Outcome {
         let map = published.map();
         let down = map
@@ -139,7 +139,7 @@
         Ok(ApplyOutcome::Done)
     }
 
-    /// A report of an older generation changes nothing.
+    /// Updates the voters of a shard; reports for another generation are ignored.
     pub(super) fn report_voters(
         &mut self,
         published: &mut Published,
@@ -160,13 +160,13 @@
         published: &mut Published,
         engines: Vec<EngineMember>,
     ) -> Outcome {
-        let engines = self.listed(engines);
+        let engines = self.normalize_engines(engines);
         self.edit(published, |map| map.engines.engines = engines);
         Ok(ApplyOutcome::Done)
     }
 
-    /// A list of engines as the map would have it: by id, each once, drained ones leaving.
-    pub(super) fn listed(&self, mut engines: Vec<EngineMember>) -> Vec<EngineMember> {
+    /// Normalizes a list of engines: sorted by id, without duplicates, drained engines marked leaving.
+    pub(super) fn normalize_engines(&self, mut engines: Vec<EngineMember>) -> Vec<EngineMember> {
         engines.sort_by(|left, right| left.engine.cmp(&right.engine));
         engines.dedup_by(|later, first| later.engine == first.engine);
         for member in &mut engines {
@@ -210,7 +210,7 @@
         change(&mut map);
         if let Some(options) = self.options {
             map.shards = place_shards(&map, &options.placement);
-            found_shards(&mut map);
+            bootstrap_shards(&mut map);
         }
         if map == *old {
             return;
--- a/crates/courseshed-control/src/state/ledger.rs
+++ b/crates/courseshed-control/src/state/ledger.rs
@@ -1,18 +1,18 @@
-//! Grants of budget to shards, as escrow.
+//! Ledger of budget grants that shards hold as escrow.
 //!
-//! An account holds what shards have been granted of one branch's budget in one period. The sum of what they hold
-//! never exceeds the budget in force when a grant is made. Lowering a budget below what is granted stops further
-//! grants and takes nothing back: a shard that was granted tokens may be spending them just now.
+//! An account records the grants to shards from one branch's budget in one period. A grant never raises the total
+//! above the budget in force at that time. Lowering a budget below the granted total stops further grants but revokes
+//! none, because a shard may already be spending its tokens.
 //!
-//! A branch and each budgeted branch above it have accounts of their own, with periods of their own; a shard holds
-//! escrow of all of them before it lets an attempt start.
+//! A branch and each budgeted ancestor have separate accounts with separate periods; a shard needs escrow from all of
+//! them before it starts an attempt.
 //!
-//! A request gets what its call needs, and beyond that at most an eighth of what is left: a shard asks for minutes of
-//! its spending at once, which must not keep the end of a budget from the others.
+//! A request is granted what its call needs, or up to an eighth of the remaining budget if that is more, so that one
+//! shard can't exhaust a nearly spent budget by requesting in advance.
 //!
-//! Requests carry numbers that grow: the last number again gets the same grant, an older one is refused, so that
-//! neither a resent request nor a late copy takes tokens twice. The numbers belong to a generation of the shard: one
-//! that was lost takes what it held with it until the period is over. Unspent escrow of a period that is over lapses.
+//! Request numbers increase: repeating the last number returns the same grant and older numbers are rejected, so
+//! resent or delayed requests are not granted twice. Numbers belong to a generation of the shard. Escrow of a lost
+//! generation stays held until the end of the period. Unspent escrow lapses with its period.
 
 use std::{collections::BTreeMap, time::Duration};
 
@@ -25,12 +25,12 @@
 
 use crate::state::ApplyOutcome;
 
-/// A request gets at most this part of what is left, unless the call that waits needs more.
-const GRANT_PART: u64 = 8;
-/// How long an account is kept that was made while its branch had no budget.
-const KEPT_WITHOUT_BUDGET: Duration = Duration::from_secs(2 * 24 * 60 * 60);
+/// A grant is at most the remaining budget divided by this, unless the pending call needs more.
+const MAX_GRANT_DIVISOR: u64 = 8;
+/// Retention time of accounts for grants made while the branch had no budget.
+const UNBUDGETED_RETENTION: Duration = Duration::from_secs(2 * 24 * 60 * 60);
 
-/// One branch's budget in one period.
+/// Identifies one branch's budget in one period.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 struct AccountId {
     branch: BranchPath,
@@ -39,29 +39,29 @@
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct Account {
-    /// When the account may be forgotten.
+    /// Time after which the account is deleted.
     forget_at: Timestamp,
-    /// Tokens that shards hold.
+    /// Tokens held by shards.
     held: Tokens,
     shards: BTreeMap<ShardId, ShardEscrow>,
 }
 
 impl Account {
-    /// Grants what is wanted as far as it is left, once for each number.
-    fn grant_within(&mut self, request: &GrantRequest, limit: Tokens) -> Result<Tokens, CallError> {
+    /// Grants the requested tokens up to the remaining budget, once per request number.
+    fn grant_up_to(&mut self, request: &GrantRequest, limit: Tokens) -> Result<Tokens, CallError> {
         let escrow = self.shards.entry(request.shard).or_default();
-        escrow.meet_generation(request)?;
+        escrow.advance_generation(request)?;
         if request.number == escrow.last_request {
             return Ok(escrow.last_granted);
         }
         if request.number < escrow.last_request {
-            return Err(refused(format!(
-                "request {} of shard {} is older than its request {}",
+            return Err(rejected(format!(
+                "grant request {} of shard {} is older than its last request {}",
                 request.number, request.shard, escrow.last_request
             )));
         }
         let left = limit.saturating_sub(self.held);
-        let granted = request.wanted.min(part_of(left, request.needed));
+        let granted = request.wanted.min(max_grant(left, request.needed));
         escrow.last_request = request.number;
         escrow.last_granted = granted;
         escrow.held = escrow.held.saturating_add(granted);
@@ -72,7 +72,7 @@
 
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 struct ShardEscrow {
-    /// The generation of the shard that the numbers below belong to.
+    /// Shard generation to which the numbers below belong.
     generation: u32,
     last_request: u64,
     last_granted: Tokens,
@@ -81,12 +81,12 @@
 }
 
 impl ShardEscrow {
-    /// A new generation of a shard has forgotten what it was granted, so its numbers start afresh. What the lost one
-    /// held stays held until the period is over, since it may have been spent.
-    fn meet_generation(&mut self, request: &GrantRequest) -> Result<(), CallError> {
+    /// Resets the request numbers for a new generation of the shard, which has no record of earlier grants. Tokens of
+    /// the lost generation stay held until the period ends, since they may have been spent.
+    fn advance_generation(&mut self, request: &GrantRequest) -> Result<(), CallError> {
         if request.generation < self.generation {
-            return Err(refused(format!(
-                "generation {} of shard {} was lost; generation {} has been founded since",
+            return Err(rejected(format!(
+                "generation {} of shard {} was lost and replaced by generation {}",
                 request.generation, request.shard, self.generation
             )));
         }
@@ -101,23 +101,23 @@
     }
 }
 
-/// The last grant made to a shard.
+/// The last grant to a shard.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LastGrant {
-    /// The number of the request.
+    /// The request number.
     pub number: u64,
     /// Tokens granted.
     pub granted: Tokens,
 }
 
-/// All accounts of periods that are not long over.
+/// Accounts of current and recent periods.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct BudgetLedger {
     accounts: BTreeMap<AccountId, Account>,
 }
 
 impl BudgetLedger {
-    /// Tokens of a branch's budget that shards hold in a period, spent or not.
+    /// Tokens of a branch's budget that shards hold in a period, whether spent or not.
     pub fn held(&self, branch: &BranchPath, period: u64) -> Tokens {
         let id = AccountId {
             branch: branch.clone(),
@@ -128,7 +128,7 @@
             .map_or(Tokens::ZERO, |account| account.held)
     }
 
-    /// The last grant made to a shard out of a branch's budget of a period.
+    /// The last grant to a shard from a branch's budget in a period.
     pub fn last_grant(
         &self,
         shard: ShardId,
@@ -146,7 +146,7 @@
         })
     }
 
-    /// Accounts kept.
+    /// Number of accounts.
     pub fn accounts(&self) -> usize {
         self.accounts.len()
     }
@@ -157,14 +157,14 @@
         request: GrantRequest,
         budget: Result<Option<PeriodBudget>, CallError>,
     ) -> Result<ApplyOutcome, CallError> {
-        self.forget_old(at);
+        self.delete_expired(at);
         let Some(budget) = budget? else {
             let granted = self.grant_without_budget(at, &request)?;
             return Ok(ApplyOutcome::Granted(Grant { request, granted }));
         };
-        if !period_is_near(at, request.period, budget.period) {
-            return Err(refused(format!(
-                "period {} of {} is not the present one nor next to it",
+        if !is_current_or_adjacent(at, request.period, budget.period) {
+            return Err(rejected(format!(
+                "budget period {} of {} is neither the current period nor adjacent to it",
                 request.period, request.branch
             )));
         }
@@ -179,19 +179,19 @@
     ) -> Result<Tokens, CallError> {
         let account = self.account_for(request);
         account.forget_at = forget_at(request.period, budget.period).max(account.forget_at);
-        account.grant_within(request, budget.tokens)
+        account.grant_up_to(request, budget.tokens)
     }
 
-    /// A shard that has not seen yet that a budget was lifted asks all the same. It gets all it wants, and that is
-    /// accounted for: the budget may be set again while the shard still holds the tokens.
+    /// Grants a request in full for a branch without a budget, which a shard with outdated settings may still send. The
+    /// grant is recorded, because the budget may be set again while the shard holds the tokens.
     fn grant_without_budget(
         &mut self,
         at: Timestamp,
         request: &GrantRequest,
     ) -> Result<Tokens, CallError> {
         let account = self.account_for(request);
-        account.forget_at = account.forget_at.max(at + KEPT_WITHOUT_BUDGET);
-        account.grant_within(request, Tokens(u64::MAX))
+        account.forget_at = account.forget_at.max(at + UNBUDGETED_RETENTION);
+        account.grant_up_to(request, Tokens(u64::MAX))
     }
 
     fn account_for(&mut self, request: &GrantRequest) -> &mut Account {
@@ -202,7 +202,10 @@
         self.accounts.entry(id).or_default()
     }
 
-    pub(super) fn give_back(&mut self, returned: &GrantReturn) -> Result<ApplyOutcome, CallError> {
+    pub(super) fn return_grant(
+        &mut self,
+        returned: &GrantReturn,
+    ) -> Result<ApplyOutcome, CallError> {
         let id = AccountId {
             branch: returned.branch.clone(),
             period: returned.period,
@@ -222,29 +225,29 @@
         Ok(ApplyOutcome::Done)
     }
 
-    fn forget_old(&mut self, at: Timestamp) {
+    fn delete_expired(&mut self, at: Timestamp) {
         self.accounts.retain(|_, account| account.forget_at > at);
     }
 }
 
-/// The most that one request gets, so that a shard which asks for much leaves something for the others.
-fn part_of(left: Tokens, needed: Tokens) -> Tokens {
-    Tokens(left.0 / GRANT_PART).max(needed).min(left)
+/// Maximum grant for one request.
+fn max_grant(left: Tokens, needed: Tokens) -> Tokens {
+    Tokens(left.0 / MAX_GRANT_DIVISOR).max(needed).min(left)
 }
 
-/// Clocks differ, so the periods next to the present one are accepted too.
-fn period_is_near(at: Timestamp, period: u64, length: Duration) -> bool {
+/// Whether a period is current or adjacent to it; adjacent periods are accepted because of clock skew.
+fn is_current_or_adjacent(at: Timestamp, period: u64, length: Duration) -> bool {
     let length = length.as_micros().max(1);
-    let present = u64::try_from(u128::from(at.0) / length).unwrap_or(u64::MAX);
-    present.abs_diff(period) <= 1
+    let current = u64::try_from(u128::from(at.0) / length).unwrap_or(u64::MAX);
+    current.abs_diff(period) <= 1
 }
 
-/// Two periods after the end: no request is accepted for it any more.
+/// Deletion time of an account: two periods after its own, when no more requests for it are accepted.
 fn forget_at(period: u64, length: Duration) -> Timestamp {
     let micros = length.as_micros().saturating_mul(u128::from(period) + 3);
     Timestamp(u64::try_from(micros).unwrap_or(u64::MAX))
 }
 
-fn refused(message: String) -> CallError {
+fn rejected(message: String) -> CallError {
     CallError::not_run(ErrorCode::InvalidRequest, message)
 }
--- a/crates/courseshed-control/src/state/mod.rs
+++ b/crates/courseshed-control/src/state/mod.rs
@@ -1,11 +1,10 @@
 //! The replicated state machine of the controllers.
 //!
-//! Commands are applied in the order of the log, by every controller alike; nothing here looks at a clock or at
-//! anything that is not in the state or the command. A command that can't be carried out changes nothing and
-//! answers with an error.
+//! Every controller applies the commands in log order. Results depend only on the state and the command, never on a
+//! local clock. A rejected command returns an error and leaves settings and the member map unchanged.
 
+mod bootstrap;
 mod fleet;
-mod founding;
 mod ledger;
 mod settings;
 
@@ -29,55 +28,55 @@
 };
 use fleet::Fleet;
 
-/// A snapshot could not be written or read.
+/// A snapshot could not be encoded or decoded.
 #[derive(Debug, Snafu)]
 pub enum SnapshotError {
-    /// It could not be written.
+    /// Encoding failed.
     #[snafu(display("the control state can't be encoded: {source}"))]
     Write {
-        /// What MessagePack says.
+        /// The MessagePack error.
         source: rmp_serde::encode::Error,
     },
-    /// It could not be read.
+    /// Decoding failed.
     #[snafu(display("the control snapshot can't be decoded: {source}"))]
     Read {
-        /// What MessagePack says.
+        /// The MessagePack error.
         source: rmp_serde::decode::Error,
     },
 }
 
-/// What holds for the whole fleet, agreed through the log.
+/// Fleet-wide options, replicated through the log.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FleetOptions {
-    /// How shards are placed.
+    /// Parameters of shard placement.
     pub placement: PlacementOptions,
 }
 
-/// What an applied command did.
+/// Result of an applied command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ApplyOutcome {
-    /// The settings were changed, now or when the same change came first.
+    /// The settings change was accepted, now or when it was first submitted.
     Settings(SettingsRecord),
-    /// Escrow was granted, now or when the same request came first.
+    /// Escrow was granted, now or when it was first requested.
     Granted(Grant),
-    /// A fence was given.
+    /// A fencing token was issued.
     Fence(u64),
-    /// Done, or nothing to do.
+    /// The command succeeded or had no effect.
     Done,
-    /// Refused; nothing changed.
+    /// The command was rejected.
     Refused(CallError),
 }
 
 /// An applied command.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Applied {
-    /// Who proposed it; none if the entry could not be read.
+    /// The proposal that created the entry; `None` if it could not be decoded.
     pub origin: Option<CommandOrigin>,
-    /// What it did.
+    /// The result.
     pub outcome: ApplyOutcome,
 }
 
-/// Settings, member map, placement, grants and fences.
+/// The replicated state: settings, member map, placement, grants and fencing tokens.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ControlState {
     applied_index: u64,
@@ -89,14 +88,14 @@
 }
 
 impl ControlState {
-    /// Applies the entry of the log at `index`; entries applied before change nothing.
+    /// Applies the log entry at `index`; entries that were already applied have no effect.
     pub fn apply(&mut self, index: u64, bytes: &[u8]) -> Applied {
         let command = match ControlCommand::decode(bytes) {
             Ok(command) => command,
             Err(error) => {
                 return Applied {
                     origin: None,
-                    outcome: refused(ErrorCode::Internal, error.to_string()),
+                    outcome: rejected(ErrorCode::Internal, error.to_string()),
                 };
             }
         };
@@ -114,17 +113,17 @@
         }
     }
 
-    /// The whole state as bytes.
+    /// Encodes the state as a snapshot.
     pub fn snapshot(&self) -> Result<Vec<u8>, SnapshotError> {
         rmp_serde::to_vec(self).context(WriteSnafu)
     }
 
-    /// The state from the bytes of a snapshot.
+    /// Restores the state from a snapshot.
     pub fn restore(bytes: &[u8]) -> Result<ControlState, SnapshotError> {
         rmp_serde::from_slice(bytes).context(ReadSnafu)
     }
 
-    /// The index of the last entry applied.
+    /// Index of the last applied entry.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
@@ -144,27 +143,27 @@
         self.published.map()
     }
 
-    /// Whether the map lists just these engines, in the state they would get.
+    /// Whether setting these engines would leave the map unchanged.
     pub fn has_engines(&self, engines: &[EngineMember]) -> bool {
-        self.fleet.listed(engines.to_vec()) == self.map().engines.engines
+        self.fleet.normalize_engines(engines.to_vec()) == self.map().engines.engines
     }
 
-    /// Policy and map, with what is needed to make deltas.
+    /// Policy and map with their change logs.
     pub fn published(&self) -> &Published {
         &self.published
     }
 
-    /// The accepted changes.
+    /// History of accepted settings changes.
     pub fn settings(&self) -> &SettingsHistory {
         &self.settings
     }
 
-    /// The grants.
+    /// Ledger of budget grants.
     pub fn ledger(&self) -> &BudgetLedger {
         &self.ledger
     }
 
-    /// How the fleet is configured, once a leader has done so.
+    /// The fleet options, once a leader has set them.
     pub fn fleet_options(&self) -> Option<FleetOptions> {
         self.fleet.options()
     }
@@ -196,7 +195,7 @@
                 let budget = budget_of(published.policy(), &request.branch);
                 self.ledger.grant(at, request, budget)
             }
-            CommandBody::ReturnGrant(returned) => self.ledger.give_back(&returned),
+            CommandBody::ReturnGrant(returned) => self.ledger.return_grant(&returned),
         };
         result.unwrap_or_else(ApplyOutcome::Refused)
     }
@@ -225,11 +224,11 @@
     }
 }
 
-fn refused(code: ErrorCode, message: String) -> ApplyOutcome {
+fn rejected(code: ErrorCode, message: String) -> ApplyOutcome {
     ApplyOutcome::Refused(CallError::not_run(code, message))
 }
 
-/// The version that a change makes.
+/// The version that follows `version`.
 pub fn version_after(version: SettingsVersion) -> SettingsVersion {
     SettingsVersion(version.0 + 1)
 }
--- a/crates/courseshed-control/src/state/settings.rs
+++ b/crates/courseshed-control/src/state/settings.rs
@@ -1,9 +1,8 @@
-//! The accepted changes of the settings tree.
+//! History of accepted changes to the settings tree.
 //!
-//! A change is accepted if it was made against the version in force; every accepted change makes the next version.
-//! The same change id again gets the first answer, so that operators may resend when an answer is lost. Rolling
-//! back is a change like any other, with an older tree. Texts of old versions are bounded; change ids are
-//! remembered for far longer, since they are small.
+//! A change is accepted if its expected version is in force, and creates the next version. Resubmitting a change id
+//! returns the original result, so operators can retry after a lost reply. A rollback is a regular change to an older
+//! tree. The number and size of stored trees are limited; change ids are retained longer because they are small.
 
 use std::{
     collections::{BTreeMap, BTreeSet, VecDeque},
@@ -20,15 +19,15 @@
 
 use crate::{publish::Published, state::ApplyOutcome, state::version_after};
 
-/// Versions whose text is kept.
-const RECORDS_KEPT: usize = 200;
-/// Bytes of text kept over all versions; the version in force is kept whatever its size.
-const TEXT_BYTES_KEPT: usize = 8 << 20;
-/// Changes whose ids are remembered; more than a week at 2,800 changes a day.
-const CHANGES_REMEMBERED: usize = 20_000;
+/// Maximum number of stored trees.
+const MAX_RECORDS: usize = 200;
+/// Maximum total size of stored trees in bytes; the version in force is always stored.
+const MAX_TEXT_BYTES: usize = 8 << 20;
+/// Maximum number of retained change ids.
+const MAX_CHANGE_IDS: usize = 20_000;
 
 #[derive(Debug, Clone, Serialize, Deserialize)]
-struct RememberedChange {
+struct ChangeDigest {
     version: SettingsVersion,
     accepted_at: Timestamp,
     tree_digest: u64,
@@ -39,33 +38,32 @@
 pub struct SettingsHistory {
     records: VecDeque<SettingsRecord>,
     text_bytes: usize,
-    changes: BTreeMap<ChangeId, RememberedChange>,
+    changes: BTreeMap<ChangeId, ChangeDigest>,
     change_order: VecDeque<ChangeId>,
-    /// Versions in which some branch goes on when cut off from control.
+    /// Versions in which some branch continues while cut off from the controllers.
     continuing: BTreeSet<SettingsVersion>,
-    /// Versions below this are not in `continuing` even if they belonged there.
+    /// Lower bound of `continuing`; older versions have been dropped from it.
     continuing_from: SettingsVersion,
 }
 
 impl SettingsHistory {
-    /// The change in force; none before the first.
+    /// The change in force; `None` before the first.
     pub fn current(&self) -> Option<&SettingsRecord> {
         self.records.back()
     }
 
-    /// A version whose text is still kept.
+    /// Returns the record of a version if its tree is still stored.
     pub fn version(&self, version: SettingsVersion) -> Option<&SettingsRecord> {
         let mut records = self.records.iter().rev();
         records.find(|record| record.version == version)
     }
 
-    /// The latest changes whose text is kept, newest first.
+    /// Returns the latest stored changes, newest first.
     pub fn latest(&self, limit: usize) -> impl Iterator<Item = &SettingsRecord> {
         self.records.iter().rev().take(limit)
     }
 
-    /// Whether a node that has some version from `from` up to but not including `below` may have one in which a
-    /// branch goes on when cut off.
+    /// Whether any version in `from..below` may let a branch continue while cut off.
     pub fn may_continue(&self, from: SettingsVersion, below: SettingsVersion) -> bool {
         if from >= below {
             return false;
@@ -80,13 +78,13 @@
         change: SettingsChange,
         policy: Arc<PolicySnapshot>,
     ) -> Result<ApplyOutcome, CallError> {
-        if let Some(record) = self.first_answer(&change)? {
+        if let Some(record) = self.previous_result(&change)? {
             return Ok(ApplyOutcome::Settings(record));
         }
         let in_force = published.position().settings;
         check_version(&change, in_force, &policy)?;
         published.set_policy(Arc::clone(&policy));
-        self.note_continuing(&policy);
+        self.record_continuing(&policy);
         let record = SettingsRecord {
             version: policy.version,
             change_id: change.change_id,
@@ -94,44 +92,45 @@
             accepted_at: at,
             tree: Arc::from(change.tree),
         };
-        self.remember(record.clone());
+        self.add_record(record.clone());
         Ok(ApplyOutcome::Settings(record))
     }
 
-    /// The answer that the same change got before.
-    pub fn first_answer(
+    /// Returns the record of an earlier submission of the same change, if it was accepted. Fails if the change id was
+    /// used with another tree.
+    pub fn previous_result(
         &self,
         change: &SettingsChange,
     ) -> Result<Option<SettingsRecord>, CallError> {
-        let Some(first) = self.changes.get(&change.change_id) else {
+        let Some(earlier) = self.changes.get(&change.change_id) else {
             return Ok(None);
         };
-        if first.tree_digest != xxh3_64(change.tree.as_bytes()) {
+        if earlier.tree_digest != xxh3_64(change.tree.as_bytes()) {
             let message = format!(
-                "change {} was accepted as version {} with another tree; use a new change id",
-                change.change_id, first.version
+                "change {} was already accepted as version {} with a different tree; use a new change id",
+                change.change_id, earlier.version
             );
             return Err(CallError::not_run(ErrorCode::BodyConflict, message));
         }
-        if let Some(record) = self.version(first.version) {
+        if let Some(record) = self.version(earlier.version) {
             return Ok(Some(record.clone()));
         }
         Ok(Some(SettingsRecord {
-            version: first.version,
+            version: earlier.version,
             change_id: change.change_id.clone(),
             author: change.author.clone(),
-            accepted_at: first.accepted_at,
+            accepted_at: earlier.accepted_at,
             tree: Arc::from(change.tree.as_str()),
         }))
     }
 
-    fn remember(&mut self, record: SettingsRecord) {
-        let remembered = RememberedChange {
+    fn add_record(&mut self, record: SettingsRecord) {
+        let digest = ChangeDigest {
             version: record.version,
             accepted_at: record.accepted_at,
             tree_digest: xxh3_64(record.tree.as_bytes()),
         };
-        self.changes.insert(record.change_id.clone(), remembered);
+        self.changes.insert(record.change_id.clone(), digest);
         self.change_order.push_back(record.change_id.clone());
         self.text_bytes += record.tree.len();
         self.records.push_back(record);
@@ -139,30 +138,30 @@
     }
 
     fn compact(&mut self) {
-        let too_many = |history: &SettingsHistory| {
-            history.records.len() > RECORDS_KEPT || history.text_bytes > TEXT_BYTES_KEPT
+        let exceeds_limits = |history: &SettingsHistory| {
+            history.records.len() > MAX_RECORDS || history.text_bytes > MAX_TEXT_BYTES
         };
-        while self.records.len() > 1 && too_many(self) {
+        while self.records.len() > 1 && exceeds_limits(self) {
             if let Some(dropped) = self.records.pop_front() {
                 self.text_bytes -= dropped.tree.len();
             }
         }
-        while self.change_order.len() > CHANGES_REMEMBERED {
-            if let Some(forgotten) = self.change_order.pop_front() {
-                self.changes.remove(&forgotten);
+        while self.change_order.len() > MAX_CHANGE_IDS {
+            if let Some(evicted) = self.change_order.pop_front() {
+                self.changes.remove(&evicted);
             }
         }
-        while self.continuing.len() > CHANGES_REMEMBERED {
-            if let Some(forgotten) = self.continuing.pop_first() {
-                self.continuing_from = version_after(forgotten);
+        while self.continuing.len() > MAX_CHANGE_IDS {
+            if let Some(evicted) = self.continuing.pop_first() {
+                self.continuing_from = version_after(evicted);
             }
         }
     }
 
-    fn note_continuing(&mut self, policy: &PolicySnapshot) {
-        let goes_on = |cut_off: CutOffPolicy| cut_off == CutOffPolicy::Continue;
+    fn record_continuing(&mut self, policy: &PolicySnapshot) {
+        let continues = |cut_off: CutOffPolicy| cut_off == CutOffPolicy::Continue;
         let mut branches = policy.branches.values();
-        if branches.any(|branch| goes_on(branch.when_cut_off)) {
+        if branches.any(|branch| continues(branch.when_cut_off)) {
             self.continuing.insert(policy.version);
         }
     }
@@ -175,7 +174,7 @@
 ) -> Result<(), CallError> {
     if change.expected_version != in_force {
         let message = format!(
-            "the change was made against version {}, but version {in_force} is in force; read it and try again",
+            "the change expects version {}, but version {in_force} is in force; read the current version and retry",
             change.expected_version
         );
         return Err(CallError::not_run(ErrorCode::VersionConflict, message));
--- a/crates/courseshed-control/src/state/tests.rs
+++ b/crates/courseshed-control/src/state/tests.rs
@@ -1,4 +1,4 @@
-//! The state machine: versions, resending, epochs, grants, fences and snapshots.
+//! Tests for versions, resubmission, epochs, grants, fencing tokens and snapshots of the state machine.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 
 const HOUR: Duration = Duration::from_secs(3_600);
 
-/// Applies commands in order, as a log would.
+/// A log that applies commands in order.
 struct Log {
     state: ControlState,
     index: u64,
@@ -113,11 +113,11 @@
     })
 }
 
-fn give_back(shard: u32, number: u64, returned: u64) -> CommandBody {
-    give_back_of(shard, 1, number, returned)
+fn return_grant(shard: u32, number: u64, returned: u64) -> CommandBody {
+    return_grant_of(shard, 1, number, returned)
 }
 
-fn give_back_of(shard: u32, generation: u32, number: u64, returned: u64) -> CommandBody {
+fn return_grant_of(shard: u32, generation: u32, number: u64, returned: u64) -> CommandBody {
     CommandBody::ReturnGrant(GrantReturn {
         shard: ShardId(shard),
         generation,
@@ -150,7 +150,7 @@
 }
 
 #[test]
-fn racing_and_resent_changes_get_the_right_answers() {
+fn concurrent_and_resent_changes_get_consistent_results() {
     let mut log = Log::new();
     assert_eq!(version(log.apply(0, "a", 10)), 1);
     assert_eq!(refusal(log.apply(0, "b", 20)), ErrorCode::VersionConflict);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_change_whose_text_was_dropped_still_gets_its_first_answer() {
+fn resent_change_gets_its_version_after_its_tree_was_dropped() {
     let mut log = Log::new();
     for expected in 0..300 {
         log.apply(expected, &format!("change-{expected}"), expected);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn entries_applied_before_change_nothing() {
+fn already_applied_entries_have_no_effect() {
     let mut log = Log::new();
     log.apply(0, "a", 10);
     let before = log.state.snapshot().expect("encodes");
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn nodes_register_restart_fail_and_are_forgotten() {
+fn nodes_register_restart_fail_and_are_removed() {
     let mut log = Log::new();
     log.run(CommandBody::Configure(FleetOptions::default()));
     for node in 1..=4 {
@@ -192,7 +192,11 @@
     assert_eq!(log.state.map().shards.len(), 16);
     let epoch = log.state.map().epoch;
     log.run(CommandBody::RegisterNode(member(4, 1)));
-    assert_eq!(log.state.map().epoch, epoch, "nothing new, no new epoch");
+    assert_eq!(
+        log.state.map().epoch,
+        epoch,
+        "an unchanged registration does not advance the epoch"
+    );
     log.run(CommandBody::RegisterNode(member(4, 2)));
     assert_eq!(
         refusal(log.run(CommandBody::RegisterNode(member(4, 1)))),
@@ -214,7 +218,7 @@
 }
 
 #[test]
-fn a_drained_node_stays_drained_over_its_restarts() {
+fn node_drain_persists_across_restarts() {
     let mut log = Log::new();
     log.run(CommandBody::RegisterNode(member(1, 1)));
     let drain = |leaving| CommandBody::DrainNode {
@@ -232,7 +236,7 @@
 }
 
 #[test]
-fn a_drained_engine_stays_drained_whatever_the_list_says() {
+fn engine_drain_overrides_the_engine_list() {
     let mut log = Log::new();
     log.run(CommandBody::SetEngines(vec![engine("b"), engine("a")]));
     log.run(CommandBody::DrainEngine {
@@ -250,7 +254,7 @@
 }
 
 #[test]
-fn grants_never_exceed_the_budget_and_repeat_themselves() {
+fn grants_stay_within_the_budget_and_are_idempotent() {
     let mut log = Log::new();
     log.apply(0, "a", 100);
     assert_eq!(granted(log.run(request(1, 1, 60))), 60);
@@ -261,25 +265,25 @@
         refusal(log.run(request(2, 1, 60))),
         ErrorCode::InvalidRequest
     );
-    log.run(give_back(1, 1, 30));
-    log.run(give_back(1, 1, 30));
+    log.run(return_grant(1, 1, 30));
+    log.run(return_grant(1, 1, 30));
     assert_eq!(log.state.ledger().held(&BranchPath::root(), 0), Tokens(70));
     assert_eq!(granted(log.run(request(3, 1, 60))), 30);
 }
 
 #[test]
-fn a_lowered_budget_stops_grants_until_enough_came_back() {
+fn lowered_budget_blocks_grants_until_tokens_are_returned() {
     let mut log = Log::new();
     log.apply(0, "a", 100);
     log.run(request(1, 1, 80));
     log.apply(1, "b", 50);
     assert_eq!(granted(log.run(request(2, 1, 10))), 0);
-    log.run(give_back(1, 1, 40));
+    log.run(return_grant(1, 1, 40));
     assert_eq!(granted(log.run(request(2, 2, 30))), 10);
 }
 
 #[test]
-fn a_shard_founded_again_is_not_granted_what_the_lost_one_held() {
+fn new_shard_generation_is_not_granted_tokens_of_the_lost_one() {
     let mut log = Log::new();
     log.apply(0, "a", 100);
     assert_eq!(granted(log.run(request_of(1, 1, 1, 60))), 60);
@@ -288,14 +292,14 @@
         refusal(log.run(request_of(1, 1, 2, 10))),
         ErrorCode::InvalidRequest
     );
-    log.run(give_back_of(1, 1, 1, 60));
+    log.run(return_grant_of(1, 1, 1, 60));
     assert_eq!(log.state.ledger().held(&BranchPath::root(), 0), Tokens(100));
-    log.run(give_back_of(1, 2, 1, 10));
+    log.run(return_grant_of(1, 2, 1, 10));
     assert_eq!(log.state.ledger().held(&BranchPath::root(), 0), Tokens(90));
 }
 
 #[test]
-fn a_budget_lifted_and_set_again_counts_what_was_granted_meanwhile() {
+fn grants_without_budget_count_once_the_budget_is_set_again() {
     let mut log = Log::new();
     log.apply(0, "a", 100);
     let lifted = CommandBody::ApplySettings {
@@ -318,7 +322,7 @@
 }
 
 #[test]
-fn a_period_that_is_over_gives_nothing_and_is_forgotten() {
+fn ended_period_rejects_grants_and_its_account_is_deleted() {
     let mut log = Log::new();
     log.apply(0, "a", 100);
     log.run(request(1, 1, 100));
@@ -331,7 +335,7 @@
 }
 
 #[test]
-fn fences_grow_and_need_an_engine() {
+fn fencing_tokens_increase_and_require_a_known_engine() {
     let mut log = Log::new();
     log.run(CommandBody::SetEngines(vec![engine("a")]));
     let fence = || CommandBody::TakeFence("a".into());
@@ -342,7 +346,7 @@
 }
 
 #[test]
-fn a_snapshot_holds_everything() {
+fn snapshot_restores_the_complete_state() {
     let mut log = Log::new();
     log.run(CommandBody::Configure(FleetOptions::default()));
     log.run(CommandBody::RegisterNode(member(1, 1)));
@@ -365,7 +369,7 @@
 }
 
 #[test]
-fn garbage_in_the_log_changes_nothing() {
+fn undecodable_entry_is_rejected() {
     let mut log = Log::new();
     let applied = log.state.apply(1, &[0xc1, 0x00]);
     assert_eq!(applied.origin, None);
