--- a/crates/courseshed-control/src/leader/hearing.rs
+++ b/crates/courseshed-control/src/leader/heartbeats.rs
@@ -1,4 +1,4 @@
-//! Heartbeats, and the proposals that follow from hearing or not hearing a node.
+//! Processing of heartbeats, and the resulting registrations and removals of nodes.
 
 use std::time::Duration;
 
@@ -9,22 +9,22 @@
 };
 
 use super::{
-    CommandBody, ControlLeader, HeardPosition, LeaderOutput, NODE_PROPOSAL_RETRY, TreeCompiler,
+    CommandBody, ControlLeader, LeaderOutput, NODE_PROPOSAL_RETRY, ReportedPosition, TreeCompiler,
 };
 use crate::state::ControlState;
 
-/// Whether a sign of life comes from a start that the member map knows.
+/// How the incarnation of a heartbeat compares with the member map.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Acquaintance {
-    Known,
+enum IncarnationStatus {
+    Current,
     New,
-    Outdated,
+    Stale,
 }
 
 impl<C: TreeCompiler> ControlLeader<C> {
-    /// Nodes that the platform's list calls leaving or does not name.
+    /// Sets the nodes that the platform's list marks as leaving or omits.
     pub fn set_platform_hints(&mut self, absent: std::collections::BTreeSet<NodeId>) {
-        self.detector.set_hints(absent);
+        self.detector.set_reported_absent(absent);
     }
 
     pub(super) fn on_heartbeat(
@@ -34,11 +34,11 @@
         state: &ControlState,
     ) -> (ControlReply, Vec<LeaderOutput>) {
         let member = &heartbeat.member;
-        if acquaintance(member.node, member.incarnation, state) == Acquaintance::Outdated {
-            return (outdated_start(member.node), Vec::new());
+        if incarnation_status(member.node, member.incarnation, state) == IncarnationStatus::Stale {
+            return (stale_incarnation_reply(member.node), Vec::new());
         }
-        let proposals = self.hear_member(now, heartbeat, state);
-        let reply = self.heard_reply(member.node, member.incarnation, state);
+        let proposals = self.process_heartbeat(now, heartbeat, state);
+        let reply = self.heartbeat_reply(member.node, member.incarnation, state);
         (reply, proposals.into_iter().collect())
     }
 
@@ -50,26 +50,34 @@
     ) -> (ControlReply, Vec<LeaderOutput>) {
         let mut outputs = Vec::new();
         for heard in &report.heard {
-            outputs.extend(self.hear_known(now, heard, state));
+            outputs.extend(self.process_short_heartbeat(now, heard, state));
         }
         for heartbeat in &report.changed {
             let member = &heartbeat.member;
-            if acquaintance(member.node, member.incarnation, state) != Acquaintance::Outdated {
-                outputs.extend(self.hear_member(now, heartbeat, state));
+            if incarnation_status(member.node, member.incarnation, state)
+                != IncarnationStatus::Stale
+            {
+                outputs.extend(self.process_heartbeat(now, heartbeat, state));
             }
         }
         let Some(incarnation) = report.sender_incarnation() else {
-            let error = CallError::not_run(ErrorCode::InvalidRequest, "the sender is not listed");
+            let error = CallError::not_run(
+                ErrorCode::InvalidRequest,
+                "the zone report does not list its sender",
+            );
             return (ControlReply::Error(error), outputs);
         };
-        if acquaintance(report.from, incarnation, state) == Acquaintance::Outdated {
-            return (outdated_start(report.from), outputs);
+        if incarnation_status(report.from, incarnation, state) == IncarnationStatus::Stale {
+            return (stale_incarnation_reply(report.from), outputs);
         }
-        (self.heard_reply(report.from, incarnation, state), outputs)
+        (
+            self.heartbeat_reply(report.from, incarnation, state),
+            outputs,
+        )
     }
 
-    /// Judges every node by when it was last heard.
-    pub(super) fn judge_nodes(
+    /// Proposes state changes for nodes according to the time of their last heartbeat.
+    pub(super) fn check_nodes(
         &mut self,
         now: Timestamp,
         state: &ControlState,
@@ -81,22 +89,22 @@
         let mut outputs = Vec::new();
         for member in state.map().members.values() {
             outputs.extend(match member.state {
-                NodeState::Live | NodeState::Leaving => self.judge_present(now, member),
-                NodeState::Down => self.judge_down(now, member, state),
+                NodeState::Live | NodeState::Leaving => self.check_present_node(now, member),
+                NodeState::Down => self.check_down_node(now, member, state),
             });
         }
         outputs
     }
 
-    fn judge_present(&mut self, now: Timestamp, member: &Member) -> Option<LeaderOutput> {
+    fn check_present_node(&mut self, now: Timestamp, member: &Member) -> Option<LeaderOutput> {
         self.detector.watch(member.node, now);
         self.down_since.remove(&member.node);
         let down = self.detector.liveness(member.node, now) == Liveness::Down;
-        if !down || self.proposed_lately(member.node, now) {
+        if !down || self.was_proposed_recently(member.node, now) {
             return None;
         }
         self.proposed_nodes.insert(member.node, now);
-        self.damper.failed(member.node, now);
+        self.damper.record_failure(member.node, now);
         self.counters.nodes_down += 1;
         let body = CommandBody::NodeDown {
             node: member.node,
@@ -105,7 +113,7 @@
         Some(self.propose(now, None, body))
     }
 
-    fn judge_down(
+    fn check_down_node(
         &mut self,
         now: Timestamp,
         member: &Member,
@@ -114,34 +122,34 @@
         let since = *self.down_since.entry(member.node).or_insert(now);
         let mut placements = state.map().shards.values();
         let keeps_replicas = placements.any(|shard| shard.replicas.contains(&member.node));
-        let long = now.since(since) > self.options.forget_after;
-        if !long || keeps_replicas || self.proposed_lately(member.node, now) {
+        let is_expired = now.since(since) > self.options.forget_after;
+        if !is_expired || keeps_replicas || self.was_proposed_recently(member.node, now) {
             return None;
         }
         self.proposed_nodes.insert(member.node, now);
-        self.detector.forget(member.node);
+        self.detector.unwatch(member.node);
         self.positions.remove(&member.node);
         Some(self.propose(now, None, CommandBody::NodeGone(member.node)))
     }
 
-    /// A sign of life that carries the whole member.
-    fn hear_member(
+    /// Processes a heartbeat that contains the full member entry.
+    fn process_heartbeat(
         &mut self,
         now: Timestamp,
         heartbeat: &NodeHeartbeat,
         state: &ControlState,
     ) -> Option<LeaderOutput> {
         let member = &heartbeat.member;
-        self.note_heard(now, member.node, member.incarnation, heartbeat);
+        self.record_position(now, member.node, member.incarnation, heartbeat);
         let known = state.map().members.get(&member.node);
-        if known.is_some_and(|known| agrees(known, member)) {
+        if known.is_some_and(|known| matches_member(known, member)) {
             return None;
         }
         self.register(now, member.clone(), known)
     }
 
-    /// A sign of life of a node that its relay found to be as the member map says.
-    fn hear_known(
+    /// Processes a short heartbeat of a node whose entry in the relay's member map is unchanged.
+    fn process_short_heartbeat(
         &mut self,
         now: Timestamp,
         heard: &HeardNode,
@@ -153,15 +161,15 @@
         }
         let heartbeat = NodeHeartbeat {
             member: Member {
-                state: alive_state(known),
+                state: state_when_alive(known),
                 ..known.clone()
             },
             position: heard.position,
         };
-        self.hear_member(now, &heartbeat, state)
+        self.process_heartbeat(now, &heartbeat, state)
     }
 
-    fn note_heard(
+    fn record_position(
         &mut self,
         now: Timestamp,
         node: NodeId,
@@ -169,21 +177,21 @@
         heartbeat: &NodeHeartbeat,
     ) {
         self.counters.heartbeats += 1;
-        self.detector.heard(node, now);
-        let heard = self.positions.entry(node).or_insert(HeardPosition {
+        self.detector.record_heartbeat(node, now);
+        let reported = self.positions.entry(node).or_insert(ReportedPosition {
             incarnation,
             position: heartbeat.position,
         });
-        if incarnation > heard.incarnation {
-            *heard = HeardPosition {
+        if incarnation > reported.incarnation {
+            *reported = ReportedPosition {
                 incarnation,
                 position: heartbeat.position,
             };
         }
-        if incarnation == heard.incarnation {
-            let newest = heard.position.settings.max(heartbeat.position.settings);
-            heard.position.settings = newest;
-            heard.position.map = heard.position.map.max(heartbeat.position.map);
+        if incarnation == reported.incarnation {
+            let newest = reported.position.settings.max(heartbeat.position.settings);
+            reported.position.settings = newest;
+            reported.position.map = reported.position.map.max(heartbeat.position.map);
         }
     }
 
@@ -193,12 +201,12 @@
         member: Member,
         known: Option<&Member>,
     ) -> Option<LeaderOutput> {
-        let returns = known.is_some_and(|known| known.state == NodeState::Down);
-        if returns && !self.damper.may_return(member.node, now) {
+        let is_rejoining = known.is_some_and(|known| known.state == NodeState::Down);
+        if is_rejoining && !self.damper.may_rejoin(member.node, now) {
             self.counters.returns_damped += 1;
             return None;
         }
-        if self.proposed_lately(member.node, now) {
+        if self.was_proposed_recently(member.node, now) {
             return None;
         }
         self.proposed_nodes.insert(member.node, now);
@@ -206,19 +214,19 @@
         Some(self.propose(now, None, CommandBody::RegisterNode(member)))
     }
 
-    fn proposed_lately(&self, node: NodeId, now: Timestamp) -> bool {
+    fn was_proposed_recently(&self, node: NodeId, now: Timestamp) -> bool {
         let proposed = self.proposed_nodes.get(&node);
         proposed.is_some_and(|at| now.since(*at) < NODE_PROPOSAL_RETRY)
     }
 
-    /// A start that is not in the member map gets no lease: `settings wait` would not know of it.
-    fn heard_reply(
+    /// Grants a lease only to incarnations in the member map, because `settings wait` does not track others.
+    fn heartbeat_reply(
         &self,
         node: NodeId,
         incarnation: Incarnation,
         state: &ControlState,
     ) -> ControlReply {
-        let known = acquaintance(node, incarnation, state) == Acquaintance::Known;
+        let known = incarnation_status(node, incarnation, state) == IncarnationStatus::Current;
         ControlReply::Heard {
             position: state.position(),
             settings_lease: if known {
@@ -230,36 +238,40 @@
     }
 }
 
-fn acquaintance(node: NodeId, incarnation: Incarnation, state: &ControlState) -> Acquaintance {
+fn incarnation_status(
+    node: NodeId,
+    incarnation: Incarnation,
+    state: &ControlState,
+) -> IncarnationStatus {
     match state.map().members.get(&node) {
-        Some(known) if known.incarnation > incarnation => Acquaintance::Outdated,
-        Some(known) if known.incarnation == incarnation => Acquaintance::Known,
-        _ => Acquaintance::New,
+        Some(known) if known.incarnation > incarnation => IncarnationStatus::Stale,
+        Some(known) if known.incarnation == incarnation => IncarnationStatus::Current,
+        _ => IncarnationStatus::New,
     }
 }
 
-/// Whether the map already says of a node what its heartbeat says. The map may call a live node leaving, since
-/// operators can drain it from outside.
-fn agrees(known: &Member, heard: &Member) -> bool {
-    let same_state = known.state == heard.state
-        || (known.state == NodeState::Leaving && heard.state == NodeState::Live);
+/// Whether a heartbeat matches the node's entry in the member map. The map may list a live node as leaving, because
+/// operators can drain it.
+fn matches_member(known: &Member, reported: &Member) -> bool {
+    let same_state = known.state == reported.state
+        || (known.state == NodeState::Leaving && reported.state == NodeState::Live);
     same_state
-        && known.incarnation == heard.incarnation
-        && known.zone == heard.zone
-        && known.region == heard.region
-        && known.peer_address == heard.peer_address
-        && known.http_address == heard.http_address
-        && known.roles == heard.roles
+        && known.incarnation == reported.incarnation
+        && known.zone == reported.zone
+        && known.region == reported.region
+        && known.peer_address == reported.peer_address
+        && known.http_address == reported.http_address
+        && known.roles == reported.roles
 }
 
-fn alive_state(known: &Member) -> NodeState {
+fn state_when_alive(known: &Member) -> NodeState {
     match known.state {
         NodeState::Down => NodeState::Live,
         other => other,
     }
 }
 
-fn outdated_start(node: NodeId) -> ControlReply {
-    let message = format!("a later start of node {node} is known; this one must stop");
+fn stale_incarnation_reply(node: NodeId) -> ControlReply {
+    let message = format!("a newer incarnation of node {node} is registered; this one must stop");
     ControlReply::Error(CallError::not_run(ErrorCode::Forbidden, message))
 }
--- a/crates/courseshed-control/src/leader/in_force.rs
+++ b/crates/courseshed-control/src/leader/lagging.rs
@@ -1,4 +1,4 @@
-//! When versions were accepted, as far as the present leader knows, and which nodes may still act on older ones.
+//! Determines which nodes may still use settings older than a given version.
 
 use std::{collections::VecDeque, time::Duration};
 
@@ -10,29 +10,29 @@
 use super::{ControlLeader, TreeCompiler};
 use crate::state::ControlState;
 
-/// Versions whose time of acceptance is remembered.
-const ACCEPTANCES_REMEMBERED: usize = 256;
+/// Maximum number of versions whose acceptance time is retained.
+const MAX_ACCEPTANCES: usize = 256;
 
-/// Upper bounds of the times at which versions were accepted.
+/// Upper bounds of the acceptance times of versions.
 #[derive(Debug, Clone, Default)]
 pub(super) struct AcceptanceTimes {
     accepted: VecDeque<(SettingsVersion, Timestamp)>,
 }
 
 impl AcceptanceTimes {
-    /// The version in force now; noting the same again changes nothing.
-    pub(super) fn note(&mut self, version: SettingsVersion, now: Timestamp) {
+    /// Records the version in force now; no effect if it is already recorded.
+    pub(super) fn record(&mut self, version: SettingsVersion, now: Timestamp) {
         let newest = self.accepted.back().map(|(newest, _)| *newest);
         if newest.is_some_and(|newest| newest >= version) {
             return;
         }
         self.accepted.push_back((version, now));
-        if self.accepted.len() > ACCEPTANCES_REMEMBERED {
+        if self.accepted.len() > MAX_ACCEPTANCES {
             self.accepted.pop_front();
         }
     }
 
-    /// A time by which the version had been accepted; none if it has not been.
+    /// A time by which the version had been accepted, or `None` if it has not been accepted.
     pub(super) fn accepted_by(&self, version: SettingsVersion) -> Option<Timestamp> {
         let mut times = self.accepted.iter();
         let (_, time) = times.find(|(accepted, _)| *accepted >= version)?;
@@ -41,11 +41,11 @@
 }
 
 impl<C: TreeCompiler> ControlLeader<C> {
-    /// Nodes that may act on a version older than `version`.
+    /// Returns the nodes that may use a version older than `version`.
     ///
-    /// A node is left out only if it reported the version itself, or if it is down and provably acts on nothing: any
-    /// lease it may hold was issued before the version was accepted and has run out since, and no version it may
-    /// have lets a branch go on when cut off.
+    /// A node is excluded only if it reported the version, or if it is down and can't start work: all leases issued
+    /// before the version was accepted have expired, and no version that the node may have lets a branch continue
+    /// while cut off.
     pub(super) fn lagging(
         &self,
         now: Timestamp,
@@ -69,24 +69,24 @@
         let known = self
             .positions
             .get(&member.node)
-            .filter(|heard| heard.incarnation == member.incarnation)
-            .map(|heard| heard.position.settings);
+            .filter(|reported| reported.incarnation == member.incarnation)
+            .map(|reported| reported.position.settings);
         if known.is_some_and(|known| known >= version) {
             return false;
         }
         let oldest = known.unwrap_or_default();
-        let refuses = self.leases_have_run_out(now, version)
+        let starts_nothing = self.older_leases_expired(now, version)
             && !state.settings().may_continue(oldest, version);
-        member.state != NodeState::Down || !refuses
+        member.state != NodeState::Down || !starts_nothing
     }
 
-    /// Whether every lease on a version older than `version` has run out.
-    fn leases_have_run_out(&self, now: Timestamp, version: SettingsVersion) -> bool {
+    /// Whether every lease on a version older than `version` has expired.
+    fn older_leases_expired(&self, now: Timestamp, version: SettingsVersion) -> bool {
         let accepted = self.acceptances.accepted_by(version);
-        accepted.is_some_and(|accepted| now > accepted + self.longest_lease())
+        accepted.is_some_and(|accepted| now > accepted + self.max_lease_duration())
     }
 
-    fn longest_lease(&self) -> Duration {
+    fn max_lease_duration(&self) -> Duration {
         let lease = self.options.settings_lease;
         lease + lease * self.options.clock_rate_percent / 100
     }
--- a/crates/courseshed-control/src/leader/mod.rs
+++ b/crates/courseshed-control/src/leader/mod.rs
@@ -1,14 +1,14 @@
-//! The soft logic of the controller that leads.
+//! Logic of the leading controller that is not replicated.
 //!
-//! It hears nodes, proposes commands and answers requests. All of it may be lost: a new leader starts from the
-//! replicated state and from what it hears, and waits a grace before it calls anyone down.
+//! The leader processes heartbeats, proposes commands and answers requests. Its own state may be lost: a new leader
+//! starts from the replicated state and incoming heartbeats, and marks no node down during a grace period.
 //!
-//! A settings lease handed out at a time says that no newer version was accepted before that time. Therefore the
-//! leader answers with a lease only while its own read lease from the replicated log holds, that is while no other
-//! controller can have had a newer version committed.
+//! A settings lease granted at a given time guarantees that no newer version was accepted before that time. The leader
+//! therefore grants leases only while its read lease from the replicated log is valid, since no other controller can
+//! commit a newer version during that time.
 
-mod hearing;
-mod in_force;
+mod heartbeats;
+mod lagging;
 mod requests;
 
 use std::{collections::BTreeMap, time::Duration};
@@ -24,33 +24,33 @@
     compiler::TreeCompiler,
     state::{Applied, ApplyOutcome, ControlState, FleetOptions},
 };
-use in_force::AcceptanceTimes;
+use lagging::AcceptanceTimes;
 
-/// Time after which a proposal that was not applied is given up.
+/// Time after which a proposal that was not applied is abandoned.
 const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Time after which a proposal about a node may be made again.
+/// Minimum time between two proposals about the same node.
 const NODE_PROPOSAL_RETRY: Duration = Duration::from_secs(2);
 
-/// Names a request until it is answered; the driver chooses it.
+/// Identifies a pending request; chosen by the driver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RequestToken(pub u64);
 
-/// Times and sizes of the leader.
+/// Parameters of the leader.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaderOptions {
-    /// How long a node may rely on settings that it has confirmed to be the newest.
+    /// Duration of a settings lease.
     pub settings_lease: Duration,
-    /// How much faster than a node's clock the leader's may run, in parts of a hundred.
+    /// Maximum rate by which the leader's clock may run faster than a node's clock, in percent.
     pub clock_rate_percent: u32,
-    /// When nodes are called down.
+    /// Failure detector parameters.
     pub detector: DetectorOptions,
-    /// How nodes that fail again and again are held back.
+    /// Flap damping parameters.
     pub damping: DampingOptions,
-    /// Time after an election in which no node is called down.
+    /// Time after an election during which no node is marked down.
     pub election_grace: Duration,
-    /// Time after which a node that is down is forgotten.
+    /// Time after which a node that is down is removed from the member map.
     pub forget_after: Duration,
-    /// How the fleet is to be configured.
+    /// Fleet options to put in force.
     pub fleet: FleetOptions,
 }
 
@@ -68,21 +68,21 @@
     }
 }
 
-/// What the replicated log says of this controller.
+/// Role of this controller in the replicated log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaderRole {
-    /// It leads, and has applied every entry committed before its term.
+    /// Leader that has applied every entry committed before its term.
     Leading,
-    /// Another leads, if known.
+    /// Not the leader; contains the leader if known.
     Following(Option<NodeId>),
 }
 
-/// What the driver must do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum LeaderOutput {
     /// Propose the command to the replicated log.
     Propose(ControlCommand),
-    /// Answer the request.
+    /// Answer a request.
     Reply {
         /// The request.
         token: RequestToken,
@@ -98,33 +98,33 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-struct HeardPosition {
+struct ReportedPosition {
     incarnation: Incarnation,
     position: ControlPosition,
 }
 
-/// Numbers for operators and metrics.
+/// Counters for operators and metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LeaderCounters {
-    /// Nodes called down.
+    /// Nodes marked down.
     pub nodes_down: u64,
-    /// Nodes registered or registered again.
+    /// Proposed node registrations, including repeated ones.
     pub nodes_registered: u64,
-    /// Registrations held back by flap damping.
+    /// Registrations suppressed by flap damping.
     pub returns_damped: u64,
     /// Settings changes proposed.
     pub settings_proposed: u64,
-    /// Settings changes refused before they were proposed.
+    /// Settings changes rejected before they were proposed.
     pub settings_refused: u64,
     /// Grants proposed.
     pub grants_proposed: u64,
-    /// Proposals given up.
+    /// Proposals abandoned after a timeout.
     pub proposals_lost: u64,
-    /// Heartbeats heard, directly or through relays.
+    /// Heartbeats received, directly or through relays.
     pub heartbeats: u64,
 }
 
-/// The leader's soft state.
+/// The leader's unreplicated state.
 #[derive(Debug, Clone)]
 pub struct ControlLeader<C> {
     node: NodeId,
@@ -137,7 +137,7 @@
     pending: BTreeMap<u64, PendingProposal>,
     proposed_nodes: BTreeMap<NodeId, Timestamp>,
     down_since: BTreeMap<NodeId, Timestamp>,
-    positions: BTreeMap<NodeId, HeardPosition>,
+    positions: BTreeMap<NodeId, ReportedPosition>,
     detector: FailureDetector,
     damper: FlapDamper,
     acceptances: AcceptanceTimes,
@@ -146,7 +146,8 @@
 }
 
 impl<C: TreeCompiler> ControlLeader<C> {
-    /// A controller that does not lead yet. `now` must be later than at any earlier start of this node.
+    /// Creates a controller that is not the leader. `now` must be later than at any earlier start of this node, because
+    /// proposal numbers start from it.
     pub fn new(
         node: NodeId,
         options: LeaderOptions,
@@ -173,77 +174,81 @@
         }
     }
 
-    /// Whether this controller leads.
+    /// Whether this controller is the leader.
     pub fn leads(&self) -> bool {
         self.role == LeaderRole::Leading
     }
 
-    /// Numbers for operators and metrics.
+    /// Counters for operators and metrics.
     pub fn counters(&self) -> LeaderCounters {
         self.counters
     }
 
-    /// The settings version a node has in force, as last heard.
-    pub fn heard_position(&self, node: NodeId) -> Option<ControlPosition> {
-        self.positions.get(&node).map(|heard| heard.position)
+    /// The last reported settings version and map epoch of a node.
+    pub fn reported_position(&self, node: NodeId) -> Option<ControlPosition> {
+        self.positions.get(&node).map(|reported| reported.position)
     }
 
-    /// All nodes heard since this controller leads, with what they had in force.
+    /// All nodes that have reported since this controller became leader, with their positions.
     pub(super) fn heard_nodes(&self) -> Vec<HeardNode> {
-        let heard = self.positions.iter();
-        heard
-            .map(|(node, heard)| HeardNode {
+        let positions = self.positions.iter();
+        positions
+            .map(|(node, reported)| HeardNode {
                 node: *node,
-                incarnation: heard.incarnation,
-                position: heard.position,
+                incarnation: reported.incarnation,
+                position: reported.position,
             })
             .collect()
     }
 
-    /// The replicated log did not take a command: nothing was written.
+    /// Handles a command that the replicated log rejected without writing it.
     pub fn on_not_proposed(&mut self, origin: CommandOrigin) -> Vec<LeaderOutput> {
         let pending = self.pending.remove(&origin.serial);
         let token = pending.and_then(|pending| pending.token);
-        let error = CallError::not_run(ErrorCode::Unavailable, "the controllers' log is busy");
+        let error = CallError::not_run(
+            ErrorCode::Unavailable,
+            "the replicated log of the controllers did not accept the command; try again",
+        );
         token
             .map(|token| reply(token, ControlReply::Error(error)))
             .into_iter()
             .collect()
     }
 
-    /// The replicated log guarantees until then that no other controller leads. Without such a guarantee the leader
-    /// must confirm its leadership with a quorum before it passes requests in, and may give `Timestamp::MAX`.
+    /// Sets the time until which the replicated log guarantees that no other controller leads. Without such a
+    /// guarantee, the driver must confirm leadership with a quorum before passing requests in, and may use
+    /// `Timestamp::MAX`.
     pub fn extend_read_lease(&mut self, until: Timestamp) {
         self.read_lease_until = until;
     }
 
-    /// Leadership began or ended.
+    /// Handles the start or end of leadership.
     pub fn on_role_change(
         &mut self,
         now: Timestamp,
         role: LeaderRole,
         state: &ControlState,
     ) -> Vec<LeaderOutput> {
-        let led = self.leads();
+        let was_leading = self.leads();
         self.role = role;
         match role {
-            LeaderRole::Leading if !led => {
+            LeaderRole::Leading if !was_leading => {
                 self.start_leading(now, state);
                 Vec::new()
             }
-            LeaderRole::Following(_) if led => self.abandon_pending(),
+            LeaderRole::Following(_) if was_leading => self.fail_pending(),
             _ => Vec::new(),
         }
     }
 
-    /// A command was applied to `state`.
+    /// Handles a command that was applied to `state`.
     pub fn on_applied(
         &mut self,
         now: Timestamp,
         applied: &Applied,
         state: &ControlState,
     ) -> Vec<LeaderOutput> {
-        self.acceptances.note(state.position().settings, now);
+        self.acceptances.record(state.position().settings, now);
         let Some(origin) = applied.origin.filter(|origin| origin.node == self.node) else {
             return Vec::new();
         };
@@ -255,27 +260,27 @@
             .collect()
     }
 
-    /// To be called several times a second.
+    /// Must be called several times a second.
     pub fn tick(&mut self, now: Timestamp, state: &ControlState) -> Vec<LeaderOutput> {
         if !self.leads() {
             return Vec::new();
         }
-        let mut outputs = self.give_up_lost(now);
-        outputs.extend(self.configure(now, state));
-        outputs.extend(self.judge_nodes(now, state));
+        let mut outputs = self.expire_proposals(now);
+        outputs.extend(self.propose_fleet_options(now, state));
+        outputs.extend(self.check_nodes(now, state));
         outputs
     }
 
-    /// What decides its answers besides the replicated state, for telling states of a model apart.
-    pub(crate) fn answering_state(&self) -> impl std::fmt::Debug {
+    /// Unreplicated state that affects replies; part of the fingerprint of model-checker states.
+    pub(crate) fn reply_state(&self) -> impl std::fmt::Debug {
         (
             (self.role, self.leading_since, self.configured),
             (&self.acceptances, &self.proposed_nodes),
         )
     }
 
-    /// What it has heard and concluded of nodes, for telling states of a model apart.
-    pub(crate) fn hearing_state(&self) -> impl std::fmt::Debug {
+    /// State derived from heartbeats; part of the fingerprint of model-checker states.
+    pub(crate) fn heartbeat_state(&self) -> impl std::fmt::Debug {
         (
             (&self.down_since, &self.positions),
             (&self.detector, &self.damper),
@@ -293,10 +298,10 @@
             self.detector.watch(*node, now);
         }
         self.acceptances = AcceptanceTimes::default();
-        self.acceptances.note(state.position().settings, now);
+        self.acceptances.record(state.position().settings, now);
     }
 
-    fn abandon_pending(&mut self) -> Vec<LeaderOutput> {
+    fn fail_pending(&mut self) -> Vec<LeaderOutput> {
         let pending = std::mem::take(&mut self.pending);
         pending
             .into_values()
@@ -305,21 +310,26 @@
             .collect()
     }
 
-    fn give_up_lost(&mut self, now: Timestamp) -> Vec<LeaderOutput> {
-        let lost: Vec<u64> = self
+    fn expire_proposals(&mut self, now: Timestamp) -> Vec<LeaderOutput> {
+        let expired: Vec<u64> = self
             .pending
             .iter()
             .filter(|(_, pending)| now.since(pending.proposed_at) > PROPOSAL_TIMEOUT)
             .map(|(serial, _)| *serial)
             .collect();
-        self.counters.proposals_lost += lost.len() as u64;
-        lost.into_iter()
+        self.counters.proposals_lost += expired.len() as u64;
+        expired
+            .into_iter()
             .filter_map(|serial| self.pending.remove(&serial)?.token)
             .map(|token| reply(token, outcome_unknown()))
             .collect()
     }
 
-    fn configure(&mut self, now: Timestamp, state: &ControlState) -> Option<LeaderOutput> {
+    fn propose_fleet_options(
+        &mut self,
+        now: Timestamp,
+        state: &ControlState,
+    ) -> Option<LeaderOutput> {
         if self.configured {
             return None;
         }
@@ -353,8 +363,8 @@
         })
     }
 
-    /// Whether answers may rely on the state being the newest there is.
-    fn may_answer(&self, now: Timestamp) -> bool {
+    /// Whether the local state is guaranteed to be the newest.
+    fn has_read_lease(&self, now: Timestamp) -> bool {
         self.leads() && now < self.read_lease_until
     }
 
@@ -383,11 +393,11 @@
     }
 }
 
-/// The answer when a proposal may or may not come to be applied.
+/// The reply when a proposal may or may not be applied later.
 fn outcome_unknown() -> ControlReply {
     ControlReply::Error(CallError::may_have_run(
         ErrorCode::Unavailable,
-        "the controller lost its leadership or quorum before the outcome was known; send the same request again",
+        "the controller lost leadership or quorum before the outcome was known; retry the same request",
     ))
 }
 
--- a/crates/courseshed-control/src/leader/requests.rs
+++ b/crates/courseshed-control/src/leader/requests.rs
@@ -1,4 +1,4 @@
-//! What the leader answers to each request.
+//! Request handling of the leader.
 
 use std::sync::Arc;
 
@@ -10,11 +10,11 @@
 use super::{CommandBody, ControlLeader, LeaderOutput, RequestToken, TreeCompiler, reply};
 use crate::state::{ControlState, version_after};
 
-/// Most changes listed in one answer.
+/// Maximum number of changes in one reply.
 const HISTORY_LIMIT: u32 = 200;
 
 impl<C: TreeCompiler> ControlLeader<C> {
-    /// A request came; answers at once or after a proposal is applied.
+    /// Handles a request; replies immediately or after the resulting proposal is applied.
     pub fn on_request(
         &mut self,
         now: Timestamp,
@@ -22,7 +22,7 @@
         request: ControlRequest,
         state: &ControlState,
     ) -> Vec<LeaderOutput> {
-        if !self.may_answer(now) {
+        if !self.has_read_lease(now) {
             let leader = self.known_leader();
             return vec![reply(token, ControlReply::NotLeader { leader })];
         }
@@ -32,14 +32,16 @@
                 with_reply(outputs, token, answer)
             }
             ControlRequest::ZoneHeartbeats(heartbeats) => {
-                self.on_heartbeats(now, token, &heartbeats, state)
+                self.on_zone_heartbeats(now, token, &heartbeats, state)
             }
             ControlRequest::ZoneReport(report) => {
                 let (answer, outputs) = self.on_zone_report(now, &report, state);
                 with_reply(outputs, token, answer)
             }
             ControlRequest::Pull(position) => vec![reply(token, self.pull(position, state))],
-            ControlRequest::GetSettings(version) => vec![reply(token, get(version, state))],
+            ControlRequest::GetSettings(version) => {
+                vec![reply(token, settings_reply(version, state))]
+            }
             ControlRequest::SettingsHistory { limit } => {
                 let limit = limit.min(HISTORY_LIMIT) as usize;
                 let records = state.settings().latest(limit).cloned().collect();
@@ -55,12 +57,12 @@
             ControlRequest::ApplySettings(change) => {
                 vec![self.apply_settings(now, token, change, state)]
             }
-            change if changes_nothing(&change, state) => vec![reply(token, ControlReply::Done)],
+            change if is_no_op(&change, state) => vec![reply(token, ControlReply::Done)],
             change => vec![self.propose_change(now, token, change)],
         }
     }
 
-    fn on_heartbeats(
+    fn on_zone_heartbeats(
         &mut self,
         now: Timestamp,
         token: RequestToken,
@@ -77,7 +79,7 @@
         with_reply(outputs, token, answer)
     }
 
-    /// A pull names no node, so its answer carries no lease; the next heartbeat does.
+    /// A pull does not identify the node, so its reply grants no lease; the next heartbeat does.
     fn pull(&self, position: ControlPosition, state: &ControlState) -> ControlReply {
         let lease = std::time::Duration::ZERO;
         let update = state.published().update_since(position, lease);
@@ -91,7 +93,7 @@
         state: &ControlState,
     ) -> ControlReply {
         if version > state.position().settings {
-            let message = format!("version {version} has not been accepted");
+            let message = format!("settings version {version} has not been accepted");
             return ControlReply::Error(CallError::not_run(ErrorCode::NotFound, message));
         }
         ControlReply::Lagging(self.lagging(now, version, state))
@@ -106,7 +108,7 @@
     ) -> LeaderOutput {
         match state.settings().previous_result(&change) {
             Ok(Some(record)) => return reply(token, ControlReply::Settings(record)),
-            Err(error) => return self.refuse_settings(token, error),
+            Err(error) => return self.reject_settings(token, error),
             Ok(None) => {}
         }
         let version = version_after(change.expected_version);
@@ -119,12 +121,12 @@
             }
             Err(problems) => {
                 let error = CallError::not_run(ErrorCode::InvalidRequest, problems.join("\n"));
-                self.refuse_settings(token, error)
+                self.reject_settings(token, error)
             }
         }
     }
 
-    fn refuse_settings(&mut self, token: RequestToken, error: CallError) -> LeaderOutput {
+    fn reject_settings(&mut self, token: RequestToken, error: CallError) -> LeaderOutput {
         self.counters.settings_refused += 1;
         reply(token, ControlReply::Error(error))
     }
@@ -152,7 +154,8 @@
             }
             ControlRequest::ReturnGrant(returned) => CommandBody::ReturnGrant(returned),
             _ => {
-                let error = CallError::not_run(ErrorCode::Internal, "not a change");
+                let error =
+                    CallError::not_run(ErrorCode::Internal, "the request is not a state change");
                 return reply(token, ControlReply::Error(error));
             }
         };
@@ -160,9 +163,9 @@
     }
 }
 
-/// Whether the map already says what is asked for. Nodes and the platform's list say the same again and again; a list
-/// of engines is hundreds of kilobytes, which the log need not carry each time.
-fn changes_nothing(request: &ControlRequest, state: &ControlState) -> bool {
+/// Whether the member map already contains the requested state. Such requests are repeated often, and a list of
+/// engines is too large to append to the log every time.
+fn is_no_op(request: &ControlRequest, state: &ControlState) -> bool {
     match request {
         ControlRequest::SetEngines(engines) => state.has_engines(engines),
         ControlRequest::ReportVoters(report) => {
@@ -184,23 +187,23 @@
     outputs
 }
 
-fn get(version: Option<SettingsVersion>, state: &ControlState) -> ControlReply {
+fn settings_reply(version: Option<SettingsVersion>, state: &ControlState) -> ControlReply {
     let found = match version {
         None => state.settings().current(),
         Some(version) => state.settings().version(version),
     };
     match (found, version) {
         (Some(record), _) => ControlReply::Settings(record.clone()),
-        (None, None | Some(SettingsVersion(0))) => ControlReply::Settings(first_version()),
+        (None, None | Some(SettingsVersion(0))) => ControlReply::Settings(initial_settings()),
         (None, Some(version)) => {
-            let message = format!("the text of version {version} is not kept");
+            let message = format!("the text of settings version {version} is no longer stored");
             ControlReply::Error(CallError::not_run(ErrorCode::NotFound, message))
         }
     }
 }
 
-/// The settings before the first change: an empty tree.
-fn first_version() -> SettingsRecord {
+/// The initial settings: an empty tree.
+fn initial_settings() -> SettingsRecord {
     SettingsRecord {
         version: SettingsVersion(0),
         change_id: "none".into(),
--- a/crates/courseshed-control/src/leader/tests.rs
+++ b/crates/courseshed-control/src/leader/tests.rs
@@ -1,4 +1,4 @@
-//! The leader: leases only while it surely leads, who is down, who lags, and what askers are told in the end.
+//! Tests for leases, failure detection, lagging nodes and replies of the leader.
 
 use courseshed_types::{
     BranchPath, PolicySnapshot, SettingsVersion, Verdict,
@@ -13,20 +13,20 @@
 
 type Compiler = fn(&str, SettingsVersion) -> Result<PolicySnapshot, Vec<String>>;
 
-/// A tree of this text is refused.
-const FAULTY: &str = "faulty";
-/// In a tree of this text the root goes on when cut off.
-const CONTINUING: &str = "continuing";
+/// The test compiler rejects this tree.
+const INVALID: &str = "faulty";
+/// With this tree, the root branch continues while cut off.
+const CONTINUES_WHEN_CUT_OFF: &str = "continuing";
 
 fn compile(tree: &str, version: SettingsVersion) -> Result<PolicySnapshot, Vec<String>> {
-    if tree == FAULTY {
+    if tree == INVALID {
         return Err(vec![
             "line 1: faulty".to_owned(),
             "line 2: faulty".to_owned(),
         ]);
     }
     let mut root = BranchPolicy::default();
-    if tree == CONTINUING {
+    if tree == CONTINUES_WHEN_CUT_OFF {
         root.when_cut_off = CutOffPolicy::Continue;
     }
     Ok(PolicySnapshot {
@@ -40,12 +40,12 @@
     Timestamp::from_millis((1_000 + seconds) * 1_000)
 }
 
-/// A leader and the log behind it, in which everything proposed is committed at once, unless it is held back.
+/// A leader with a log that commits proposals immediately, unless `drops_proposals` is set.
 struct Fleet {
     leader: ControlLeader<Compiler>,
     state: ControlState,
     index: u64,
-    held_back: bool,
+    drops_proposals: bool,
     next_token: u64,
 }
 
@@ -61,7 +61,7 @@
             leader,
             state: ControlState::default(),
             index: 0,
-            held_back: false,
+            drops_proposals: false,
             next_token: 0,
         };
         fleet.leader.extend_read_lease(Timestamp::MAX);
@@ -76,45 +76,45 @@
         assert!(outputs.is_empty());
     }
 
-    fn ask(&mut self, seconds: u64, request: ControlRequest) -> Option<ControlReply> {
+    fn send_request(&mut self, seconds: u64, request: ControlRequest) -> Option<ControlReply> {
         self.next_token += 1;
         let token = RequestToken(self.next_token);
         let outputs = self
             .leader
             .on_request(at(seconds), token, request, &self.state);
-        self.carry_out(seconds, outputs).into_iter().next()
+        self.execute(seconds, outputs).into_iter().next()
     }
 
     fn tick(&mut self, seconds: u64) {
         let outputs = self.leader.tick(at(seconds), &self.state);
-        self.carry_out(seconds, outputs);
+        self.execute(seconds, outputs);
     }
 
-    /// Answers, after everything proposed was committed.
-    fn carry_out(&mut self, seconds: u64, outputs: Vec<LeaderOutput>) -> Vec<ControlReply> {
+    /// Commits all proposals and returns the replies.
+    fn execute(&mut self, seconds: u64, outputs: Vec<LeaderOutput>) -> Vec<ControlReply> {
         let mut replies = Vec::new();
         for output in outputs {
             match output {
                 LeaderOutput::Reply { reply, .. } => replies.push(*reply),
-                LeaderOutput::Propose(_) if self.held_back => {}
+                LeaderOutput::Propose(_) if self.drops_proposals => {}
                 LeaderOutput::Propose(command) => {
                     self.index += 1;
                     let bytes = command.encode().expect("encodes");
                     let applied = self.state.apply(self.index, &bytes);
                     let outputs = self.leader.on_applied(at(seconds), &applied, &self.state);
-                    replies.extend(self.carry_out(seconds, outputs));
+                    replies.extend(self.execute(seconds, outputs));
                 }
             }
         }
         replies
     }
 
-    fn hear(&mut self, seconds: u64, node: u32, incarnation: u64) -> Option<ControlReply> {
+    fn heartbeat(&mut self, seconds: u64, node: u32, incarnation: u64) -> Option<ControlReply> {
         let position = self.state.position();
-        self.hear_with(seconds, node, incarnation, position)
+        self.heartbeat_at_position(seconds, node, incarnation, position)
     }
 
-    fn hear_with(
+    fn heartbeat_at_position(
         &mut self,
         seconds: u64,
         node: u32,
@@ -127,7 +127,7 @@
             heard: Vec::new(),
             changed: vec![NodeHeartbeat { member, position }],
         };
-        self.ask(seconds, ControlRequest::ZoneReport(report))
+        self.send_request(seconds, ControlRequest::ZoneReport(report))
     }
 
     fn change(&mut self, seconds: u64, id: &str, tree: &str) -> Option<ControlReply> {
@@ -138,12 +138,12 @@
             tree: tree.to_owned(),
             author: "ada".to_owned(),
         };
-        self.ask(seconds, ControlRequest::ApplySettings(change))
+        self.send_request(seconds, ControlRequest::ApplySettings(change))
     }
 
     fn lagging(&mut self, seconds: u64) -> Vec<NodeId> {
         let version = self.state.position().settings;
-        match self.ask(seconds, ControlRequest::Lagging(version)) {
+        match self.send_request(seconds, ControlRequest::Lagging(version)) {
             Some(ControlReply::Lagging(nodes)) => nodes,
             other => panic!("expected a list of nodes, got {other:?}"),
         }
@@ -182,43 +182,49 @@
 }
 
 #[test]
-fn no_answer_without_the_lease_of_the_log() {
+fn requests_are_rejected_without_a_read_lease() {
     let mut fleet = Fleet::new();
-    fleet.hear(0, 11, 1);
+    fleet.heartbeat(0, 11, 1);
     fleet.leader.extend_read_lease(at(5));
-    assert_eq!(lease_of(fleet.hear(4, 11, 1)), Duration::from_secs(10));
+    assert_eq!(lease_of(fleet.heartbeat(4, 11, 1)), Duration::from_secs(10));
     let not_leader = Some(ControlReply::NotLeader { leader: None });
-    assert_eq!(fleet.hear(5, 11, 1), not_leader);
-    assert_eq!(fleet.ask(5, ControlRequest::GetSettings(None)), not_leader);
+    assert_eq!(fleet.heartbeat(5, 11, 1), not_leader);
+    assert_eq!(
+        fleet.send_request(5, ControlRequest::GetSettings(None)),
+        not_leader
+    );
 }
 
 #[test]
-fn a_start_gets_no_lease_before_the_map_knows_it() {
+fn unregistered_incarnation_gets_no_lease() {
     let mut fleet = Fleet::new();
-    assert_eq!(lease_of(fleet.hear(0, 11, 1)), Duration::ZERO);
-    assert_eq!(lease_of(fleet.hear(1, 11, 1)), Duration::from_secs(10));
-    assert_eq!(lease_of(fleet.hear(3, 11, 2)), Duration::ZERO);
-    assert_eq!(error_of(fleet.hear(4, 11, 1)).code, ErrorCode::Forbidden);
+    assert_eq!(lease_of(fleet.heartbeat(0, 11, 1)), Duration::ZERO);
+    assert_eq!(lease_of(fleet.heartbeat(1, 11, 1)), Duration::from_secs(10));
+    assert_eq!(lease_of(fleet.heartbeat(3, 11, 2)), Duration::ZERO);
+    assert_eq!(
+        error_of(fleet.heartbeat(4, 11, 1)).code,
+        ErrorCode::Forbidden
+    );
 }
 
 #[test]
-fn a_silent_node_is_down_and_one_that_is_heard_again_is_back() {
+fn silent_node_is_marked_down_until_its_next_heartbeat() {
     let mut fleet = Fleet::new();
-    fleet.hear(0, 11, 1);
+    fleet.heartbeat(0, 11, 1);
     for second in 1..=15 {
-        fleet.hear(second, 12, 1);
+        fleet.heartbeat(second, 12, 1);
         fleet.tick(second);
     }
     assert_eq!(fleet.node_state(11), NodeState::Down);
     assert_eq!(fleet.node_state(12), NodeState::Live);
-    fleet.hear(20, 11, 1);
+    fleet.heartbeat(20, 11, 1);
     assert_eq!(fleet.node_state(11), NodeState::Live);
 }
 
 #[test]
-fn a_new_leader_calls_nobody_down_at_first() {
+fn new_leader_marks_no_node_down_during_grace_period() {
     let mut fleet = Fleet::new();
-    fleet.hear(0, 11, 1);
+    fleet.heartbeat(0, 11, 1);
     let following = LeaderRole::Following(None);
     fleet.leader.on_role_change(at(1), following, &fleet.state);
     fleet.lead(100);
@@ -233,10 +239,10 @@
 }
 
 #[test]
-fn a_leader_that_was_stopped_calls_nobody_down_for_it() {
+fn paused_leader_marks_no_node_down() {
     let mut fleet = Fleet::new();
     for second in 0..20 {
-        fleet.hear(second, 11, 1);
+        fleet.heartbeat(second, 11, 1);
         fleet.tick(second);
     }
     fleet.tick(400);
@@ -244,45 +250,50 @@
 }
 
 #[test]
-fn a_node_that_fails_again_and_again_is_held_back() {
+fn flapping_node_is_damped() {
     let mut fleet = Fleet::new();
     let mut second = 0;
     for _ in 0..3 {
-        fleet.hear(second, 11, 1);
+        fleet.heartbeat(second, 11, 1);
         for _ in 0..20 {
             second += 1;
             fleet.tick(second);
         }
         assert_eq!(fleet.node_state(11), NodeState::Down);
     }
-    fleet.hear(second, 11, 1);
+    fleet.heartbeat(second, 11, 1);
     assert_eq!(fleet.node_state(11), NodeState::Down);
     assert_eq!(fleet.leader.counters().returns_damped, 1);
-    fleet.hear(second + 10, 11, 1);
+    fleet.heartbeat(second + 10, 11, 1);
     assert_eq!(fleet.node_state(11), NodeState::Live);
 }
 
 #[test]
-fn a_node_lags_until_it_reports_the_version_itself() {
+fn node_lags_until_it_reports_the_version() {
     let mut fleet = Fleet::new();
-    fleet.hear(0, 11, 1);
+    fleet.heartbeat(0, 11, 1);
     let old = fleet.state.position();
     fleet.change(1, "a", "first");
     assert_eq!(fleet.lagging(1), [NodeId(11)]);
-    fleet.hear_with(2, 11, 1, old);
+    fleet.heartbeat_at_position(2, 11, 1, old);
     assert_eq!(fleet.lagging(2), [NodeId(11)]);
-    fleet.hear(3, 11, 1);
+    fleet.heartbeat(3, 11, 1);
     assert_eq!(fleet.lagging(3), []);
-    fleet.hear_with(4, 11, 1, old);
-    assert_eq!(fleet.lagging(4), [], "a late report takes nothing back");
+    fleet.heartbeat_at_position(4, 11, 1, old);
+    assert_eq!(
+        fleet.lagging(4),
+        [],
+        "a late report does not decrease the position"
+    );
 }
 
-/// Node 11 falls silent at 10 s; a change comes at 14 s, when it is not known to be down. Says who lags at times.
+/// Node 11 falls silent at 10 s, and settings change at 14 s, before it is marked down. Returns the number of lagging
+/// nodes at each given time.
 fn lagging_after_silence(first_tree: &str, seconds: &[u64]) -> Vec<usize> {
     let mut fleet = Fleet::new();
     fleet.change(0, "a", first_tree);
     for second in 0..=10 {
-        fleet.hear(second, 11, 1);
+        fleet.heartbeat(second, 11, 1);
         fleet.tick(second);
     }
     let mut counts = Vec::new();
@@ -299,8 +310,8 @@
 }
 
 #[test]
-fn a_node_that_is_down_lags_until_every_older_lease_has_run_out() {
-    // Down from 17 s on; a lease given just before the change lasts until 24.5 s by the leader's clock.
+fn down_node_lags_until_older_leases_expire() {
+    // The node is down from 17 s; a lease granted just before the change expires at 24.5 s on the leader's clock.
     assert_eq!(
         lagging_after_silence("first", &[16, 18, 24, 25]),
         [1, 1, 1, 0]
@@ -308,28 +319,31 @@
 }
 
 #[test]
-fn a_node_that_may_go_on_when_cut_off_lags_for_as_long_as_it_is_away() {
-    assert_eq!(lagging_after_silence(CONTINUING, &[18, 25, 40]), [1, 1, 1]);
+fn down_node_that_may_continue_when_cut_off_keeps_lagging() {
+    assert_eq!(
+        lagging_after_silence(CONTINUES_WHEN_CUT_OFF, &[18, 25, 40]),
+        [1, 1, 1]
+    );
 }
 
 #[test]
-fn a_version_that_was_not_accepted_can_not_be_waited_for() {
+fn lagging_request_for_unaccepted_version_fails() {
     let mut fleet = Fleet::new();
-    let reply = fleet.ask(0, ControlRequest::Lagging(SettingsVersion(1)));
+    let reply = fleet.send_request(0, ControlRequest::Lagging(SettingsVersion(1)));
     assert_eq!(error_of(reply).code, ErrorCode::NotFound);
 }
 
 #[test]
-fn a_faulty_tree_is_refused_with_all_its_faults_and_not_proposed() {
+fn invalid_tree_is_rejected_with_all_errors() {
     let mut fleet = Fleet::new();
-    let error = error_of(fleet.change(0, "a", FAULTY));
+    let error = error_of(fleet.change(0, "a", INVALID));
     assert_eq!(error.verdict, Verdict::NotRun);
     assert_eq!(error.message.lines().count(), 2);
     assert_eq!(fleet.leader.counters().settings_proposed, 0);
 }
 
 #[test]
-fn a_change_sent_again_gets_its_first_answer_without_a_proposal() {
+fn resent_change_gets_the_original_reply_without_a_proposal() {
     let mut fleet = Fleet::new();
     let change = SettingsChange {
         expected_version: SettingsVersion(0),
@@ -338,41 +352,41 @@
         author: "ada".to_owned(),
     };
     let request = ControlRequest::ApplySettings(change);
-    let first = fleet.ask(0, request.clone());
+    let first = fleet.send_request(0, request.clone());
     assert!(matches!(first, Some(ControlReply::Settings(_))));
-    assert_eq!(fleet.ask(5, request), first);
+    assert_eq!(fleet.send_request(5, request), first);
     assert_eq!(fleet.leader.counters().settings_proposed, 1);
 }
 
 #[test]
-fn askers_hear_of_a_lost_leadership_that_their_change_may_have_run() {
+fn pending_requests_may_have_run_after_leadership_loss() {
     let mut fleet = Fleet::new();
-    fleet.held_back = true;
+    fleet.drops_proposals = true;
     assert_eq!(fleet.change(0, "a", "first"), None);
     let following = LeaderRole::Following(Some(NodeId(2)));
     let outputs = fleet.leader.on_role_change(at(1), following, &fleet.state);
-    let replies = fleet.carry_out(1, outputs);
+    let replies = fleet.execute(1, outputs);
     assert_eq!(
         error_of(replies.into_iter().next()).verdict,
         Verdict::MayHaveRun
     );
     let leader = Some(NodeId(2));
     assert_eq!(
-        fleet.hear(2, 11, 1),
+        fleet.heartbeat(2, 11, 1),
         Some(ControlReply::NotLeader { leader })
     );
 }
 
 #[test]
-fn a_proposal_that_is_never_applied_is_given_up() {
+fn unapplied_proposal_times_out() {
     let mut fleet = Fleet::new();
     fleet.tick(0);
-    fleet.held_back = true;
+    fleet.drops_proposals = true;
     fleet.change(0, "a", "first");
     let outputs = fleet.leader.tick(at(10), &fleet.state);
-    assert!(fleet.carry_out(10, outputs).is_empty());
+    assert!(fleet.execute(10, outputs).is_empty());
     let outputs = fleet.leader.tick(at(11), &fleet.state);
-    let replies = fleet.carry_out(11, outputs);
+    let replies = fleet.execute(11, outputs);
     assert_eq!(
         error_of(replies.into_iter().next()).verdict,
         Verdict::MayHaveRun
@@ -381,7 +395,7 @@
 }
 
 #[test]
-fn a_proposal_of_another_controller_answers_nobody_here() {
+fn proposal_of_another_controller_sends_no_reply() {
     let mut fleet = Fleet::new();
     let body = CommandBody::RegisterNode(member(11, 1));
     let command = ControlCommand {
@@ -392,13 +406,13 @@
         },
         body,
     };
-    let replies = fleet.carry_out(0, vec![LeaderOutput::Propose(command)]);
+    let replies = fleet.execute(0, vec![LeaderOutput::Propose(command)]);
     assert!(replies.is_empty());
     assert!(fleet.state.map().members.contains_key(&NodeId(11)));
 }
 
 #[test]
-fn the_fleet_is_configured_once() {
+fn fleet_options_are_proposed_once() {
     let mut fleet = Fleet::new();
     fleet.tick(1);
     fleet.tick(2);
@@ -410,7 +424,7 @@
 }
 
 #[test]
-fn a_list_of_engines_that_is_in_force_is_not_proposed_again() {
+fn unchanged_engine_list_is_not_proposed_again() {
     let mut fleet = Fleet::new();
     let engine = |id: &str| EngineMember {
         engine: id.into(),
@@ -431,7 +445,7 @@
         (list(["a", "b"]), 2),
         (list(["a", "c"]), 3),
     ] {
-        assert_eq!(fleet.ask(0, request), Some(ControlReply::Done));
+        assert_eq!(fleet.send_request(0, request), Some(ControlReply::Done));
         assert_eq!(fleet.index, proposals);
     }
 }
--- a/crates/courseshed-control/src/model/settings_lease/world.rs
+++ b/crates/courseshed-control/src/model/settings_lease/world.rs
@@ -465,9 +465,9 @@
     fn hash_controllers(&self, hasher: &mut Xxh3) {
         let controllers = &self.controllers;
         for controller in &controllers.all {
-            hash_debug(&controller.leader.answering_state(), hasher);
+            hash_debug(&controller.leader.reply_state(), hasher);
             if self.scenario.bounds.waits > 0 {
-                hash_debug(&controller.leader.hearing_state(), hasher);
+                hash_debug(&controller.leader.heartbeat_state(), hasher);
             }
             let proposals = controller.proposals.iter();
             let proposals: Vec<_> = proposals.map(|command| &command.body).collect();
--- a/crates/courseshed-membership/src/damping.rs
+++ b/crates/courseshed-membership/src/damping.rs
@@ -1,23 +1,23 @@
-//! Keeps a node that fails and returns again and again from moving replicas and dispatchers each time.
+//! Flap damping: limits how often an unstable node triggers moves of replicas and dispatchers.
 //!
-//! Every failure doubles the time for which the node must be heard steadily before it counts as live again, up to a
-//! limit; a long time without failures forgives them all. The idea is that of BGP route flap damping (RFC 2439).
+//! Every failure doubles the time for which the node must stay up before it counts as live again, up to a limit. The
+//! failure count resets after a long time without failures. Modelled on BGP route flap damping (RFC 2439).
 
 use std::{collections::BTreeMap, time::Duration};
 
 use courseshed_types::{NodeId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Times of flap damping.
+/// Parameters of flap damping.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DampingOptions {
-    /// Failures that cost nothing.
+    /// Number of failures that incur no penalty.
     pub free_failures: u32,
-    /// Steady time asked for after the first failure that counts.
+    /// Required uptime after the first penalized failure.
     pub first_wait: Duration,
-    /// Longest steady time asked for.
+    /// Maximum required uptime.
     pub longest_wait: Duration,
-    /// Time without failures after which they are forgiven.
+    /// Time without failures after which the failure count is reset.
     pub forgive_after: Duration,
 }
 
@@ -36,10 +36,10 @@
 struct FailureRecord {
     failures: u32,
     last_failure: Timestamp,
-    heard_since: Option<Timestamp>,
+    alive_since: Option<Timestamp>,
 }
 
-/// Failures lately, by node.
+/// Recent failures by node.
 #[derive(Debug, Clone)]
 pub struct FlapDamper {
     options: DampingOptions,
@@ -47,7 +47,7 @@
 }
 
 impl FlapDamper {
-    /// A damper that knows of no failures.
+    /// Creates a damper without recorded failures.
     pub fn new(options: DampingOptions) -> FlapDamper {
         FlapDamper {
             options,
@@ -55,39 +55,39 @@
         }
     }
 
-    /// The node was declared down.
-    pub fn failed(&mut self, node: NodeId, now: Timestamp) {
+    /// Records that the node was declared down.
+    pub fn record_failure(&mut self, node: NodeId, now: Timestamp) {
         let forgive_after = self.options.forgive_after;
         let record = self.records.entry(node).or_insert(FailureRecord {
             failures: 0,
             last_failure: now,
-            heard_since: None,
+            alive_since: None,
         });
         if now.since(record.last_failure) > forgive_after {
             record.failures = 0;
         }
         record.failures = record.failures.saturating_add(1);
         record.last_failure = now;
-        record.heard_since = None;
+        record.alive_since = None;
     }
 
-    /// The node is heard again; whether it may count as live now.
-    pub fn may_return(&mut self, node: NodeId, now: Timestamp) -> bool {
+    /// Handles a heartbeat of a node that was down; returns whether the node may become live now.
+    pub fn may_rejoin(&mut self, node: NodeId, now: Timestamp) -> bool {
         let Some(record) = self.records.get_mut(&node) else {
             return true;
         };
-        let since = *record.heard_since.get_or_insert(now);
-        let wait = wait_after(record.failures, &self.options);
+        let since = *record.alive_since.get_or_insert(now);
+        let wait = required_uptime(record.failures, &self.options);
         now.since(since) >= wait || now.since(record.last_failure) > self.options.forgive_after
     }
 }
 
-fn wait_after(failures: u32, options: &DampingOptions) -> Duration {
-    let counted = failures.saturating_sub(options.free_failures);
-    if counted == 0 {
+fn required_uptime(failures: u32, options: &DampingOptions) -> Duration {
+    let penalized = failures.saturating_sub(options.free_failures);
+    if penalized == 0 {
         return Duration::ZERO;
     }
-    let doublings = (counted - 1).min(16);
+    let doublings = (penalized - 1).min(16);
     options
         .first_wait
         .saturating_mul(1 << doublings)
@@ -105,28 +105,28 @@
     }
 
     #[test]
-    fn the_third_failure_asks_for_steady_time() {
+    fn third_failure_requires_stable_uptime() {
         let mut damper = FlapDamper::new(DampingOptions::default());
         for failure in 0..2 {
-            damper.failed(NODE, at(failure * 20));
-            assert!(damper.may_return(NODE, at(failure * 20 + 7)));
+            damper.record_failure(NODE, at(failure * 20));
+            assert!(damper.may_rejoin(NODE, at(failure * 20 + 7)));
         }
-        damper.failed(NODE, at(40));
-        assert!(!damper.may_return(NODE, at(47)));
-        assert!(!damper.may_return(NODE, at(56)));
-        assert!(damper.may_return(NODE, at(57)));
+        damper.record_failure(NODE, at(40));
+        assert!(!damper.may_rejoin(NODE, at(47)));
+        assert!(!damper.may_rejoin(NODE, at(56)));
+        assert!(damper.may_rejoin(NODE, at(57)));
     }
 
     #[test]
-    fn the_wait_grows_to_a_limit_and_failures_are_forgiven() {
+    fn required_uptime_is_capped_and_failures_expire() {
         let mut damper = FlapDamper::new(DampingOptions::default());
         for failure in 0..20 {
-            damper.failed(NODE, at(failure));
+            damper.record_failure(NODE, at(failure));
         }
-        assert!(!damper.may_return(NODE, at(20)));
-        assert!(!damper.may_return(NODE, at(319)));
-        assert!(damper.may_return(NODE, at(320)));
-        damper.failed(NODE, at(20 + 1_900));
-        assert!(damper.may_return(NODE, at(20 + 1_901)));
+        assert!(!damper.may_rejoin(NODE, at(20)));
+        assert!(!damper.may_rejoin(NODE, at(319)));
+        assert!(damper.may_rejoin(NODE, at(320)));
+        damper.record_failure(NODE, at(20 + 1_900));
+        assert!(damper.may_rejoin(NODE, at(20 + 1_901)));
     }
 }
--- a/crates/courseshed-membership/src/detector.rs
+++ b/crates/courseshed-membership/src/detector.rs
@@ -1,12 +1,12 @@
-//! Decides from heartbeats which nodes are down.
+//! Heartbeat failure detector.
 //!
-//! A plain timeout with a stage of suspicion, not phi accrual (Hayashibara et al., 2004): heartbeats come on a fixed
-//! schedule through at most one relay, so there is no distribution worth learning, and a bound in seconds is what
-//! operators and the settings lease can reason about. The platform's list, which lags, is a hint: it shortens the
-//! wait for a node that is silent already and never condemns one that is heard.
+//! Uses fixed timeouts with a suspect state rather than phi accrual (Hayashibara et al., 2004): heartbeats arrive on a
+//! fixed schedule through at most one relay, and operators and the settings lease rely on a bound in seconds. The
+//! platform's node list may be stale and is only a hint: it shortens the timeout of a node that is already silent and
+//! never marks down a node that still sends heartbeats.
 //!
-//! A detector that itself was stopped for a while (a frozen process, a starved machine) has not listened; the gap
-//! between its ticks is credited to every node instead of being held against it.
+//! If the detector itself was paused (process frozen, CPU starvation), the gap between its ticks does not count as
+//! silence of the nodes.
 
 use std::{
     collections::{BTreeMap, BTreeSet},
@@ -16,14 +16,14 @@
 use courseshed_types::{NodeId, Timestamp};
 use serde::{Deserialize, Serialize};
 
-/// Times of the failure detector.
+/// Timeouts of the failure detector.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DetectorOptions {
-    /// Silence after which a node is suspect.
+    /// Time without heartbeats after which a node is suspect.
     pub suspect_after: Duration,
-    /// Silence after which a node is down.
+    /// Time without heartbeats after which a node is down.
     pub down_after: Duration,
-    /// A gap between two ticks beyond this means that the detector itself was stopped.
+    /// Longest regular gap between two ticks; a longer one means that the detector itself was paused.
     pub longest_tick: Duration,
 }
 
@@ -37,80 +37,80 @@
     }
 }
 
-/// What heartbeats say of a node.
+/// Liveness of a node as derived from its heartbeats.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Liveness {
-    /// Heard of lately.
+    /// Sent a heartbeat recently.
     Alive,
-    /// Silent for a while.
+    /// Silent for longer than the suspect timeout.
     Suspect,
     /// Silent for longer than the failure timeout.
     Down,
 }
 
-/// Last signs of life by node.
+/// Time of the last heartbeat by node.
 #[derive(Debug, Clone)]
 pub struct FailureDetector {
     options: DetectorOptions,
-    heard: BTreeMap<NodeId, Timestamp>,
-    hinted: BTreeSet<NodeId>,
+    last_heartbeats: BTreeMap<NodeId, Timestamp>,
+    reported_absent: BTreeSet<NodeId>,
     last_tick: Timestamp,
 }
 
 impl FailureDetector {
-    /// A detector that starts listening now.
+    /// Creates a detector that watches no nodes.
     pub fn new(options: DetectorOptions, now: Timestamp) -> FailureDetector {
         FailureDetector {
             options,
-            heard: BTreeMap::new(),
-            hinted: BTreeSet::new(),
+            last_heartbeats: BTreeMap::new(),
+            reported_absent: BTreeSet::new(),
             last_tick: now,
         }
     }
 
-    /// Starts to watch a node as if it had just been heard; does nothing if it is watched already.
+    /// Starts watching a node as if it had just sent a heartbeat; no effect if it is already watched.
     pub fn watch(&mut self, node: NodeId, now: Timestamp) {
-        self.heard.entry(node).or_insert(now);
+        self.last_heartbeats.entry(node).or_insert(now);
     }
 
-    /// A sign of life.
-    pub fn heard(&mut self, node: NodeId, now: Timestamp) {
-        let last = self.heard.entry(node).or_insert(now);
+    /// Records a heartbeat.
+    pub fn record_heartbeat(&mut self, node: NodeId, now: Timestamp) {
+        let last = self.last_heartbeats.entry(node).or_insert(now);
         *last = (*last).max(now);
     }
 
     /// Stops watching a node.
-    pub fn forget(&mut self, node: NodeId) {
-        self.heard.remove(&node);
+    pub fn unwatch(&mut self, node: NodeId) {
+        self.last_heartbeats.remove(&node);
     }
 
-    /// Starts over: every watched node counts as heard now.
-    pub fn restart(&mut self, now: Timestamp) {
+    /// Resets the last heartbeat of every watched node to now.
+    pub fn reset(&mut self, now: Timestamp) {
         self.last_tick = now;
-        for last in self.heard.values_mut() {
+        for last in self.last_heartbeats.values_mut() {
             *last = now;
         }
     }
 
-    /// Replaces the nodes that the platform's list calls leaving or does not name.
-    pub fn set_hints(&mut self, absent: BTreeSet<NodeId>) {
-        self.hinted = absent;
+    /// Replaces the set of nodes that the platform's list marks as leaving or omits.
+    pub fn set_reported_absent(&mut self, absent: BTreeSet<NodeId>) {
+        self.reported_absent = absent;
     }
 
-    /// To be called regularly, before asking; credits the time the detector itself was stopped.
+    /// Must be called regularly and before [`liveness`](Self::liveness); compensates for pauses of the detector.
     pub fn tick(&mut self, now: Timestamp) {
         let gap = now.since(self.last_tick);
         if gap > self.options.longest_tick {
-            for last in self.heard.values_mut() {
+            for last in self.last_heartbeats.values_mut() {
                 *last = (*last + gap).min(now);
             }
         }
         self.last_tick = self.last_tick.max(now);
     }
 
-    /// What is known of a node; one that is not watched is down.
+    /// Returns the liveness of a node; unwatched nodes are down.
     pub fn liveness(&self, node: NodeId, now: Timestamp) -> Liveness {
-        let Some(last) = self.heard.get(&node) else {
+        let Some(last) = self.last_heartbeats.get(&node) else {
             return Liveness::Down;
         };
         let silence = now.since(*last);
@@ -123,13 +123,13 @@
         }
     }
 
-    /// When the node was last heard.
-    pub fn last_heard(&self, node: NodeId) -> Option<Timestamp> {
-        self.heard.get(&node).copied()
+    /// Time of the node's last heartbeat.
+    pub fn last_heartbeat(&self, node: NodeId) -> Option<Timestamp> {
+        self.last_heartbeats.get(&node).copied()
     }
 
     fn down_after(&self, node: NodeId) -> Duration {
-        if self.hinted.contains(&node) {
+        if self.reported_absent.contains(&node) {
             self.options.suspect_after
         } else {
             self.options.down_after
@@ -149,33 +149,37 @@
         Timestamp::from_millis(seconds * 1_000)
     }
 
-    fn ticked_to(detector: &mut FailureDetector, seconds: u64) {
+    fn tick_until(detector: &mut FailureDetector, seconds: u64) {
         for second in 0..=seconds {
             detector.tick(at(second));
         }
     }
 
     #[parameterized(
-        lately = { 2, false, Liveness::Alive },
-        a_while = { 5, false, Liveness::Suspect },
-        too_long = { 7, false, Liveness::Down },
-        hinted_but_heard = { 2, true, Liveness::Alive },
-        hinted_and_silent = { 5, true, Liveness::Down },
+        recent = { 2, false, Liveness::Alive },
+        over_suspect_timeout = { 5, false, Liveness::Suspect },
+        over_down_timeout = { 7, false, Liveness::Down },
+        absent_but_recent = { 2, true, Liveness::Alive },
+        absent_and_silent = { 5, true, Liveness::Down },
     )]
-    fn silence_is_judged(seconds: u64, hinted: bool, expected: Liveness) {
+    fn liveness_follows_time_since_heartbeat(
+        seconds: u64,
+        reported_absent: bool,
+        expected: Liveness,
+    ) {
         let mut detector = FailureDetector::new(DetectorOptions::default(), at(0));
-        detector.heard(NODE, at(0));
-        if hinted {
-            detector.set_hints(BTreeSet::from([NODE]));
+        detector.record_heartbeat(NODE, at(0));
+        if reported_absent {
+            detector.set_reported_absent(BTreeSet::from([NODE]));
         }
-        ticked_to(&mut detector, seconds);
+        tick_until(&mut detector, seconds);
         assert_eq!(detector.liveness(NODE, at(seconds)), expected);
     }
 
     #[test]
-    fn a_frozen_detector_condemns_nobody() {
+    fn paused_detector_marks_no_node_down() {
         let mut detector = FailureDetector::new(DetectorOptions::default(), at(0));
-        detector.heard(NODE, at(0));
+        detector.record_heartbeat(NODE, at(0));
         detector.tick(at(1));
         detector.tick(at(300));
         assert_eq!(detector.liveness(NODE, at(300)), Liveness::Alive);
@@ -186,10 +190,10 @@
     }
 
     #[test]
-    fn a_late_heartbeat_does_not_turn_time_back() {
+    fn late_heartbeat_does_not_decrease_last_heartbeat() {
         let mut detector = FailureDetector::new(DetectorOptions::default(), at(0));
-        detector.heard(NODE, at(5));
-        detector.heard(NODE, at(3));
-        assert_eq!(detector.last_heard(NODE), Some(at(5)));
+        detector.record_heartbeat(NODE, at(5));
+        detector.record_heartbeat(NODE, at(3));
+        assert_eq!(detector.last_heartbeat(NODE), Some(at(5)));
     }
 }
