--- a/crates/courseshed-control/src/model/settings_lease/node.rs
+++ b/crates/courseshed-control/src/model/settings_lease/node.rs
@@ -72,8 +72,8 @@
         report_every: SECOND,
         report_every_at_start: SECOND,
         request_timeout: 2 * SECOND,
-        failures_to_switch: 1,
-        prefer_again_after: SECOND,
+        max_consecutive_failures: 1,
+        relay_retry_interval: SECOND,
         least_lease: SECOND,
     };
     NodeControlView::new(member, seeds.to_vec(), options, saved)
--- a/crates/courseshed-control/src/model/settings_lease/world.rs
+++ b/crates/courseshed-control/src/model/settings_lease/world.rs
@@ -487,7 +487,7 @@
     fn message_key(&self, message: &Wire) -> String {
         let awaits = |node: NodeId, number: u64| {
             let mut nodes = self.nodes.iter();
-            nodes.any(|found| found.id == node && found.view.awaits(number))
+            nodes.any(|found| found.id == node && found.view.is_pending(number))
         };
         match message {
             Wire::Request {
@@ -508,7 +508,7 @@
     fn fingerprint(&self, hasher: &mut Xxh3) {
         self.hash_controllers(hasher);
         for node in &self.nodes {
-            hash_debug(&node.view.decisive_state(), hasher);
+            hash_debug(&node.view.behavioural_state(), hasher);
             hash_debug(&(node.incarnation, node.acted_on), hasher);
         }
         let mut messages: Vec<String> = self
--- a/crates/courseshed-control/src/node/lease.rs
+++ b/crates/courseshed-control/src/node/lease.rs
@@ -4,38 +4,38 @@
 
 use courseshed_types::Timestamp;
 
-/// Whether the settings may be relied on.
+/// State of a settings lease.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum LeaseState {
-    /// No lease since the start: the settings at hand may be of any age.
+    /// No lease was granted since the start; the local settings may be arbitrarily old.
     Never,
-    /// No version newer than the one in force here was accepted before the lease was given.
+    /// No version newer than the local one was accepted before the lease was granted.
     Valid,
-    /// A newer version may be in force elsewhere.
+    /// The lease has ended; a newer version may be in force elsewhere.
     Expired,
 }
 
-/// Until when the settings may be relied on, by the node's own clock.
+/// Settings lease, measured on the node's own clock.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SettingsLease {
     until: Option<Timestamp>,
 }
 
 impl SettingsLease {
-    /// Takes a lease of this length, counted from when it was asked for; a lease of no length is none, and one that
-    /// ends earlier than the present one changes nothing.
-    pub fn extend(&mut self, asked_at: Timestamp, length: Duration) {
+    /// Extends the lease to `length` after the request was sent. A zero length grants no lease, and a lease that would
+    /// end before the current one is ignored.
+    pub fn extend(&mut self, requested_at: Timestamp, length: Duration) {
         if !length.is_zero() {
-            self.until = self.until.max(Some(asked_at + length));
+            self.until = self.until.max(Some(requested_at + length));
         }
     }
 
-    /// When the lease ends, or ended; none before the first.
+    /// End of the current or last lease; `None` before the first.
     pub fn until(&self) -> Option<Timestamp> {
         self.until
     }
 
-    /// The state at a time.
+    /// State of the lease at a given time.
     pub fn state(&self, now: Timestamp) -> LeaseState {
         match self.until {
             None => LeaseState::Never,
@@ -44,8 +44,8 @@
         }
     }
 
-    /// What is left of the lease.
-    pub fn left(&self, now: Timestamp) -> Duration {
+    /// Remaining duration of the lease.
+    pub fn remaining(&self, now: Timestamp) -> Duration {
         self.until.map_or(Duration::ZERO, |until| until.since(now))
     }
 }
--- a/crates/courseshed-control/src/node/mod.rs
+++ b/crates/courseshed-control/src/node/mod.rs
@@ -1,12 +1,12 @@
-//! What every node runs: the newest settings and member map, the settings lease, and the relay of its zone.
+//! Control-plane client of every node: settings, member map, settings lease and zone relay.
 //!
-//! A node talks to one upstream at a time: the relay of its zone, or a controller if it is the relay itself, if no
-//! relay answers, or until it has its first lease. It sends one request at a time: a report of itself and of the
-//! nodes that talk to it, and a pull when the answer shows a newer version or epoch.
+//! A node uses one upstream at a time: the relay of its zone, or a controller if it is the relay itself, if no relay
+//! responds, or while it has no valid lease. It sends one request at a time: a report with the heartbeats of itself
+//! and of nodes that use it as relay, or a pull if a reply shows a newer version or epoch.
 //!
-//! Invariants: version and epoch never go down; a start serves nothing before its first lease, that is before it has
-//! read at least the version that was committed when it asked; a lease handed on is never longer than what is left
-//! of the giver's own.
+//! Invariants: version and epoch never decrease; after a start, no work is started before the first lease, that is,
+//! before the node has at least the version that was committed when it sent the request; a relayed lease never
+//! exceeds the remainder of the relay's own lease.
 
 mod lease;
 mod relay;
@@ -30,20 +30,20 @@
 use upstream::Upstream;
 pub use upstream::{ControlTarget, ControllerSeed};
 
-/// Times of a node's control traffic.
+/// Timing parameters of a node's control traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ViewOptions {
-    /// Time between two reports to the upstream.
+    /// Interval between reports to the upstream.
     pub report_every: Duration,
-    /// The same until the first lease.
+    /// Report interval before the first lease, and delay before a retry.
     pub report_every_at_start: Duration,
-    /// Time to wait for an answer.
+    /// Time to wait for a reply.
     pub request_timeout: Duration,
-    /// Failures in a row before the next upstream is tried.
-    pub failures_to_switch: u32,
-    /// Time after which a node that was passed over is tried again.
-    pub prefer_again_after: Duration,
-    /// An upstream that leaves less of a lease than this counts as failed.
+    /// Number of consecutive failures after which the node switches upstream.
+    pub max_consecutive_failures: u32,
+    /// Time after which a failed relay is used again.
+    pub relay_retry_interval: Duration,
+    /// Minimum lease duration; an upstream that grants less counts as failed.
     pub least_lease: Duration,
 }
 
@@ -53,29 +53,29 @@
             report_every: Duration::from_secs(1),
             report_every_at_start: Duration::from_millis(200),
             request_timeout: Duration::from_secs(1),
-            failures_to_switch: 2,
-            prefer_again_after: Duration::from_secs(30),
+            max_consecutive_failures: 2,
+            relay_retry_interval: Duration::from_secs(30),
             least_lease: Duration::from_secs(4),
         }
     }
 }
 
-/// What the driver must do.
+/// An action for the driver.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ViewOutput {
-    /// Send a request; hand the answer to [`NodeControlView::on_reply`] or its failure to
-    /// [`NodeControlView::on_failure`] under the same number.
+    /// Send a request; pass the reply to [`NodeControlView::on_reply`] or the failure to
+    /// [`NodeControlView::on_failure`] with the same number.
     Send {
-        /// Names the request.
+        /// Identifies the request.
         number: u64,
-        /// Where to.
+        /// The destination.
         target: ControlTarget,
         /// The request.
         request: ControlRequest,
     },
-    /// The policy is newer: put it in force. The next report tells the controller that it is.
+    /// A newer policy was received and must be put in force; the next report confirms it to the controller.
     PolicyChanged(Arc<PolicySnapshot>),
-    /// The member map is newer.
+    /// A newer member map was received.
     MapChanged(Arc<MemberMap>),
 }
 
@@ -92,22 +92,22 @@
     sent_at: Timestamp,
 }
 
-/// Numbers for operators and metrics.
+/// Counters for operators and metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ViewCounters {
     /// Reports sent.
     pub reports: u64,
     /// Pulls sent.
     pub pulls: u64,
-    /// Requests that were not answered, or not usefully.
+    /// Requests without a reply or with an unusable one.
     pub failures: u64,
-    /// Times another upstream was taken.
+    /// Switches to another upstream.
     pub switches: u64,
-    /// Reports and pulls answered for other nodes.
+    /// Heartbeats, reports and pulls answered as a relay.
     pub relayed: u64,
 }
 
-/// A node's view of control.
+/// Control-plane state of a node.
 #[derive(Debug, Clone)]
 pub struct NodeControlView {
     options: ViewOptions,
@@ -119,20 +119,20 @@
     in_flight: Option<InFlight>,
     next_number: u64,
     next_report_at: Timestamp,
-    pull_wanted: bool,
+    pull_needed: bool,
     counters: ViewCounters,
 }
 
 impl NodeControlView {
-    /// A node that starts. `seeds` are the controllers as the node's settings file names them, `saved` the bytes
-    /// that an earlier start kept, if any; they spare a download and are never served before the first lease.
+    /// Creates the view of a starting node. `seeds` are the controllers from the node's settings file. `saved` is the
+    /// state persisted by an earlier run, if any; it avoids a full download and is not used before the first lease.
     pub fn new(
         member: Member,
         seeds: Vec<ControllerSeed>,
         options: ViewOptions,
         saved: Option<&[u8]>,
     ) -> NodeControlView {
-        let published = saved.and_then(saved::read).unwrap_or_default();
+        let published = saved.and_then(saved::decode).unwrap_or_default();
         NodeControlView {
             upstream: Upstream::new(member.node, seeds, &options),
             options,
@@ -143,14 +143,14 @@
             in_flight: None,
             next_number: 0,
             next_report_at: Timestamp::ZERO,
-            pull_wanted: false,
+            pull_needed: false,
             counters: ViewCounters::default(),
         }
     }
 
-    /// The bytes to keep for the next start; worth keeping after every change of the policy.
+    /// Encodes the state to persist for the next start; callers should persist it after every policy change.
     pub fn to_save(&self) -> Vec<u8> {
-        saved::write(&self.published)
+        saved::encode(&self.published)
     }
 
     /// The newest policy known.
@@ -168,27 +168,27 @@
         self.published.position()
     }
 
-    /// Numbers for operators and metrics.
+    /// Counters for operators and metrics.
     pub fn counters(&self) -> ViewCounters {
         self.counters
     }
 
-    /// The state of the settings lease.
+    /// State of the settings lease.
     pub fn lease(&self, now: Timestamp) -> LeaseState {
         self.lease.state(now)
     }
 
-    /// When the settings lease ends, or ended; none before the first.
+    /// End of the current or last settings lease; `None` before the first.
     pub fn lease_until(&self) -> Option<Timestamp> {
         self.lease.until()
     }
 
-    /// Whether the settings may be relied on.
+    /// Whether the settings lease is valid.
     pub fn lease_valid(&self, now: Timestamp) -> bool {
         self.lease(now) == LeaseState::Valid
     }
 
-    /// Whether new work of a branch may start here, as far as settings go.
+    /// Checks whether the settings lease permits this node to start new work of a branch.
     pub fn may_start(&self, branch: &BranchPath, now: Timestamp) -> Result<(), CallError> {
         let cut_off = self
             .policy()
@@ -196,22 +196,27 @@
             .map(|policy| policy.when_cut_off);
         match (self.lease(now), cut_off) {
             (LeaseState::Valid, _) | (LeaseState::Expired, Some(CutOffPolicy::Continue)) => Ok(()),
-            (LeaseState::Expired, _) => Err(lease_error("the settings lease has run out")),
-            (LeaseState::Never, _) => Err(lease_error("the node has not read its settings yet")),
+            (LeaseState::Expired, _) => {
+                Err(lease_error("the settings lease of this node has expired"))
+            }
+            (LeaseState::Never, _) => Err(lease_error(
+                "this node has not obtained a settings lease since it started",
+            )),
         }
     }
 
-    /// The controller to ask for grants and changes.
+    /// The controller to contact for grants and changes.
     pub fn controller(&self) -> Option<ControlTarget> {
         self.upstream.controller(self.map())
     }
 
-    /// A controller named the one that leads, or could not; also for the node's own controller when it comes to lead.
+    /// Sets the leader reported by a controller, if it knows one; also called when this node's own controller becomes
+    /// leader.
     pub fn set_leader(&mut self, leader: Option<NodeId>) {
         self.upstream.set_leader(leader, self.published.map());
     }
 
-    /// The node leaves, or not; its reports say so from now on.
+    /// Sets whether subsequent reports describe the node as leaving.
     pub fn set_leaving(&mut self, leaving: bool) {
         self.member.state = if leaving {
             NodeState::Leaving
@@ -220,15 +225,15 @@
         };
     }
 
-    /// To be called several times a second.
+    /// Must be called several times a second.
     pub fn tick(&mut self, now: Timestamp) -> Vec<ViewOutput> {
         if let Some(waiting) = self.in_flight {
             if now.since(waiting.sent_at) < self.options.request_timeout {
                 return Vec::new();
             }
-            self.fail(now);
+            self.fail_request(now);
         }
-        if self.pull_wanted {
+        if self.pull_needed {
             return self.send_pull(now).into_iter().collect();
         }
         if now < self.next_report_at {
@@ -237,7 +242,7 @@
         self.send_report(now).into_iter().collect()
     }
 
-    /// An answer to a request that was sent; answers that come too late change nothing but the policy and map.
+    /// Handles a reply; a reply to a request that is no longer pending only updates the policy and map.
     pub fn on_reply(
         &mut self,
         now: Timestamp,
@@ -265,35 +270,35 @@
             (InFlightKind::Pull, ControlReply::Update(update)) => self.on_pulled(now, &update),
             (_, ControlReply::NotLeader { leader }) => {
                 self.set_leader(leader);
-                self.next_report_at = now + self.start_interval();
+                self.next_report_at = now + self.startup_interval();
                 Vec::new()
             }
             _ => {
-                self.fail(now);
+                self.fail_request(now);
                 Vec::new()
             }
         }
     }
 
-    /// A request that was sent could not be delivered.
+    /// Handles a request that could not be delivered.
     pub fn on_failure(&mut self, now: Timestamp, number: u64) {
         if self.in_flight.is_some_and(|sent| sent.number == number) {
-            self.fail(now);
+            self.fail_request(now);
         }
     }
 
-    /// Another node asks this one as its relay; none if the request is for the controller that leads. Controllers
-    /// are no relays: their drivers pass requests to the leader's logic instead.
+    /// Answers a request as a relay; `None` if only the leading controller can answer it. Controllers do not relay:
+    /// their drivers pass requests to the leader logic.
     pub fn on_request(&mut self, now: Timestamp, request: &ControlRequest) -> Option<ControlReply> {
         let reply = match request {
             ControlRequest::Heartbeat(heartbeat) => {
-                self.relay.hear(now, heartbeat.clone());
-                self.heard(now, heartbeat.member.node, heartbeat.member.incarnation)
+                self.relay.record_heartbeat(now, heartbeat.clone());
+                self.heartbeat_reply(now, heartbeat.member.node, heartbeat.member.incarnation)
             }
             ControlRequest::ZoneReport(report) => {
-                self.relay.hear_report(now, report, self.published.map());
+                self.relay.record_report(now, report, self.published.map());
                 let incarnation = report.sender_incarnation().unwrap_or_default();
-                self.heard(now, report.from, incarnation)
+                self.heartbeat_reply(now, report.from, incarnation)
             }
             ControlRequest::Pull(position) => {
                 let update = self.published.update_since(*position, Duration::ZERO);
@@ -305,7 +310,7 @@
         Some(reply)
     }
 
-    /// What came with an update; parts that are not newer change nothing.
+    /// Applies an update; parts that are not newer are ignored.
     pub fn on_update(&mut self, update: &ControlUpdate) -> Vec<ViewOutput> {
         let accepted = self.published.accept(update);
         let mut outputs = Vec::new();
@@ -318,8 +323,9 @@
         outputs
     }
 
-    /// All that decides what the view does next but the numbers of requests, for telling states of a model apart.
-    pub(crate) fn decisive_state(&self) -> impl std::fmt::Debug {
+    /// All state that affects the view's behaviour except request numbers; part of the fingerprint of model-checker
+    /// states.
+    pub(crate) fn behavioural_state(&self) -> impl std::fmt::Debug {
         let in_flight = self.in_flight.map(|sent| (sent.kind, sent.sent_at));
         (
             (self.published.position(), self.lease, &self.upstream),
@@ -327,20 +333,20 @@
                 &self.relay,
                 in_flight,
                 self.next_report_at,
-                self.pull_wanted,
+                self.pull_needed,
             ),
         )
     }
 
-    /// Whether the answer to this request is waited for, for telling states of a model apart.
-    pub(crate) fn awaits(&self, number: u64) -> bool {
+    /// Whether a request is pending; part of the fingerprint of model-checker states.
+    pub(crate) fn is_pending(&self, number: u64) -> bool {
         self.in_flight.is_some_and(|sent| sent.number == number)
     }
 
     fn on_pulled(&mut self, now: Timestamp, update: &ControlUpdate) -> Vec<ViewOutput> {
         let mut outputs = self.on_update(update);
         if outputs.is_empty() {
-            self.fail(now);
+            self.fail_request(now);
             return outputs;
         }
         self.upstream.on_success();
@@ -356,34 +362,41 @@
         lease: Duration,
     ) {
         let own = self.position();
-        self.pull_wanted = own.settings < newest.settings || own.map < newest.map;
+        self.pull_needed = own.settings < newest.settings || own.map < newest.map;
         if own.settings >= newest.settings {
             self.lease.extend(sent_at, lease);
         }
-        let enough = lease >= self.options.least_lease || self.awaits_registration(newest);
-        if enough {
+        let is_sufficient = lease >= self.options.least_lease || self.awaits_registration(newest);
+        if is_sufficient {
             self.upstream.on_success();
         } else {
-            self.note_failure(now);
+            self.record_failure(now);
         }
     }
 
-    /// A start that the member map does not know gets no lease yet; that is no fault of the upstream.
+    /// Whether the node's incarnation is not yet in the member map. It gets no lease until then, which is not a failure
+    /// of the upstream.
     fn awaits_registration(&self, newest: ControlPosition) -> bool {
         let known = self.map().members.get(&self.member.node);
         newest.map > self.position().map
             || known.is_none_or(|known| known.incarnation != self.member.incarnation)
     }
 
-    /// Only a start that the map knows gets a lease. The map and the policy at hand are of one moment, so the policy
-    /// is at least as new as what was committed when that start registered, and as any earlier start had in force.
-    fn heard(&self, now: Timestamp, node: NodeId, incarnation: Incarnation) -> ControlReply {
+    /// Grants a lease only to incarnations in the member map. Map and policy reflect the same log position, so the
+    /// policy is at least as new as the one committed when the incarnation registered and the ones used by earlier
+    /// incarnations.
+    fn heartbeat_reply(
+        &self,
+        now: Timestamp,
+        node: NodeId,
+        incarnation: Incarnation,
+    ) -> ControlReply {
         let member = self.map().members.get(&node);
         let known = member.is_some_and(|member| member.incarnation == incarnation);
         ControlReply::Heard {
             position: self.position(),
             settings_lease: if known {
-                self.lease.left(now)
+                self.lease.remaining(now)
             } else {
                 Duration::ZERO
             },
@@ -391,7 +404,7 @@
     }
 
     fn send_report(&mut self, now: Timestamp) -> Option<ViewOutput> {
-        self.next_report_at = now + self.interval(now);
+        self.next_report_at = now + self.current_report_interval(now);
         let own = NodeHeartbeat {
             member: self.member.clone(),
             position: self.position(),
@@ -406,7 +419,7 @@
     }
 
     fn send_pull(&mut self, now: Timestamp) -> Option<ViewOutput> {
-        self.pull_wanted = false;
+        self.pull_needed = false;
         self.next_report_at = now;
         self.counters.pulls += 1;
         let position = self.position();
@@ -419,9 +432,9 @@
         kind: InFlightKind,
         request: ControlRequest,
     ) -> Option<ViewOutput> {
-        let leased = self.lease.state(now) == LeaseState::Valid;
+        let has_lease = self.lease.state(now) == LeaseState::Valid;
         let map = self.published.map();
-        let target = self.upstream.target(now, &self.member, map, leased)?;
+        let target = self.upstream.target(now, &self.member, map, has_lease)?;
         self.next_number += 1;
         self.in_flight = Some(InFlight {
             number: self.next_number,
@@ -435,24 +448,24 @@
         })
     }
 
-    fn interval(&self, now: Timestamp) -> Duration {
+    fn current_report_interval(&self, now: Timestamp) -> Duration {
         match self.lease(now) {
-            LeaseState::Never => self.start_interval(),
+            LeaseState::Never => self.startup_interval(),
             LeaseState::Valid | LeaseState::Expired => self.options.report_every,
         }
     }
 
-    fn start_interval(&self) -> Duration {
+    fn startup_interval(&self) -> Duration {
         self.options.report_every_at_start
     }
 
-    fn fail(&mut self, now: Timestamp) {
+    fn fail_request(&mut self, now: Timestamp) {
         self.in_flight = None;
-        self.next_report_at = now + self.start_interval();
-        self.note_failure(now);
+        self.next_report_at = now + self.startup_interval();
+        self.record_failure(now);
     }
 
-    fn note_failure(&mut self, now: Timestamp) {
+    fn record_failure(&mut self, now: Timestamp) {
         self.counters.failures += 1;
         if self.upstream.on_failure(now) {
             self.counters.switches += 1;
--- a/crates/courseshed-control/src/node/relay.rs
+++ b/crates/courseshed-control/src/node/relay.rs
@@ -1,4 +1,4 @@
-//! What a relay has heard from its zone and not yet passed on.
+//! Heartbeats that a relay has received from its zone and not yet forwarded.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -7,33 +7,33 @@
     control::{HeardNode, Member, MemberMap, NodeHeartbeat, ZoneReport},
 };
 
-/// Signs of life older than this are not passed on: the controller would take them for new.
-const OLDEST_PASSED_ON: Duration = Duration::from_secs(2);
+/// Maximum age of a forwarded heartbeat; the controller treats every heartbeat it receives as current.
+const MAX_FORWARD_AGE: Duration = Duration::from_secs(2);
 
 #[derive(Debug, Clone)]
 struct RelayEntry {
     heartbeat: NodeHeartbeat,
-    heard_at: Timestamp,
+    received_at: Timestamp,
 }
 
-/// The latest heartbeat of each node that was heard lately.
+/// The latest unforwarded heartbeat of each node.
 #[derive(Debug, Clone, Default)]
 pub(super) struct RelayTable {
     entries: BTreeMap<NodeId, RelayEntry>,
 }
 
 impl RelayTable {
-    pub(super) fn hear(&mut self, now: Timestamp, heartbeat: NodeHeartbeat) {
+    pub(super) fn record_heartbeat(&mut self, now: Timestamp, heartbeat: NodeHeartbeat) {
         let entry = RelayEntry {
             heartbeat,
-            heard_at: now,
+            received_at: now,
         };
         self.entries.insert(entry.heartbeat.member.node, entry);
     }
 
-    /// Takes a report of another node; entries of nodes that the map does not know are left out, since a report in
-    /// short says too little of them.
-    pub(super) fn hear_report(
+    /// Adds the heartbeats of another node's report. Short entries of nodes that are not in the local map are dropped,
+    /// because they can't be expanded to full entries.
+    pub(super) fn record_report(
         &mut self,
         now: Timestamp,
         report: &ZoneReport,
@@ -46,15 +46,15 @@
                     ..member.clone()
                 };
                 let position = heard.position;
-                self.hear(now, NodeHeartbeat { member, position });
+                self.record_heartbeat(now, NodeHeartbeat { member, position });
             }
         }
         for heartbeat in &report.changed {
-            self.hear(now, heartbeat.clone());
+            self.record_heartbeat(now, heartbeat.clone());
         }
     }
 
-    /// The report of what was heard since the last one, and of the node itself.
+    /// Drains the received heartbeats into a report, together with the node's own heartbeat.
     pub(super) fn report(
         &mut self,
         now: Timestamp,
@@ -66,12 +66,12 @@
             ..ZoneReport::default()
         };
         let entries = std::mem::take(&mut self.entries);
-        let fresh = entries
+        let recent = entries
             .into_values()
-            .filter(|entry| now.since(entry.heard_at) < OLDEST_PASSED_ON)
+            .filter(|entry| now.since(entry.received_at) < MAX_FORWARD_AGE)
             .map(|entry| entry.heartbeat)
             .filter(|heartbeat| heartbeat.member.node != own.member.node);
-        for heartbeat in std::iter::once(own.clone()).chain(fresh) {
+        for heartbeat in std::iter::once(own.clone()).chain(recent) {
             add(&mut report, heartbeat, map);
         }
         report
--- a/crates/courseshed-control/src/node/saved.rs
+++ b/crates/courseshed-control/src/node/saved.rs
@@ -1,16 +1,16 @@
-//! What a node keeps over a restart: its newest policy and map.
+//! Serialization of the policy and member map that a node persists across restarts.
 //!
-//! Kept settings spare the node a download of everything and tell it where controllers were; they are not served
-//! before the first lease, so a file that is old, or missing, does no harm.
+//! Persisted settings avoid a full download and provide controller addresses. They are not used for new work before
+//! the first lease, so an outdated or missing file is safe.
 
 use crate::publish::Published;
 
-/// The bytes to keep; empty if they can't be written.
-pub(super) fn write(published: &Published) -> Vec<u8> {
+/// Encodes the state to persist; empty if encoding fails.
+pub(super) fn encode(published: &Published) -> Vec<u8> {
     rmp_serde::to_vec(published).unwrap_or_default()
 }
 
-/// What was kept; none if the bytes are not readable.
-pub(super) fn read(bytes: &[u8]) -> Option<Published> {
+/// Decodes persisted state; `None` if the bytes can't be decoded.
+pub(super) fn decode(bytes: &[u8]) -> Option<Published> {
     rmp_serde::from_slice(bytes).ok()
 }
--- a/crates/courseshed-control/src/node/tests.rs
+++ b/crates/courseshed-control/src/node/tests.rs
@@ -1,4 +1,4 @@
-//! A node's view: leases, versions, the choice of whom to ask, and relaying.
+//! Tests for leases, versions, upstream selection and relaying of a node's view.
 
 use std::collections::BTreeMap;
 
@@ -39,7 +39,7 @@
     NodeControlView::new(gateway(node), seeds.to_vec(), ViewOptions::default(), saved)
 }
 
-/// Everything at a version, with a map of a controller and some gateways.
+/// A full update at a version, with a map of one controller and the given gateways.
 fn update(version: u64, nodes: &[u32]) -> ControlUpdate {
     let branch = |when_cut_off| BranchPolicy {
         when_cut_off,
@@ -92,7 +92,7 @@
     }
 }
 
-/// The only request among outputs.
+/// Returns the single request in `outputs`.
 fn sent(outputs: &[ViewOutput]) -> (u64, NodeId, &ControlRequest) {
     match outputs {
         [
@@ -106,7 +106,7 @@
     }
 }
 
-/// Asks at `millis` and is answered at once.
+/// Obtains a lease at `millis` with an immediate reply.
 fn lease_at(view: &mut NodeControlView, millis: u64, version: u64) {
     let outputs = view.tick(at(millis));
     let (number, _, _) = sent(&outputs);
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_start_serves_nothing_before_its_first_lease_whatever_it_saved() {
+fn no_work_starts_before_the_first_lease_despite_saved_state() {
     let saved = ready_view(11, &[11]).to_save();
     let mut view = view(11, Some(&saved));
     assert_eq!(view.position(), position(1));
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_saved_file_that_is_damaged_is_as_good_as_none() {
+fn corrupt_saved_state_is_ignored() {
     assert_eq!(
         view(11, Some(&[0xc1, 7])).position(),
         ControlPosition::default()
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_lease_counts_from_the_question_and_then_only_continuing_branches_start() {
+fn lease_starts_at_request_time_and_expiry_blocks_most_branches() {
     let mut view = view(11, None);
     view.on_update(&update(1, &[11]));
     let outputs = view.tick(at(0));
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn an_older_version_gets_no_lease_but_a_pull() {
+fn outdated_node_pulls_and_gets_no_lease() {
     let mut view = view(11, None);
     view.on_update(&update(1, &[11]));
     let outputs = view.tick(at(0));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn versions_and_epochs_never_go_down() {
+fn versions_and_epochs_never_decrease() {
     let mut view = view(11, None);
     assert_eq!(view.on_update(&update(3, &[11])).len(), 2);
     assert!(view.on_update(&update(2, &[])).is_empty());
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn an_answer_after_its_time_extends_nothing() {
+fn late_reply_does_not_extend_the_lease() {
     let mut view = view(11, None);
     view.on_update(&update(1, &[11]));
     let outputs = view.tick(at(0));
@@ -191,7 +191,7 @@
     assert_eq!(view.counters().failures, 1);
 }
 
-/// Node 11 and 12 in the order of preference as relay.
+/// Nodes 11 and 12 in order of preference as relay.
 fn relay_and_other() -> [u32; 2] {
     let map = update(1, &[11, 12]).map.expect("a map");
     let ranked = courseshed_membership::relays_for(&"south-a".into(), &map);
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn a_node_asks_its_relay_and_the_relay_a_controller() {
+fn node_uses_its_relay_and_the_relay_uses_a_controller() {
     let [relay, other] = relay_and_other();
     let mut relay_view = ready_view(relay, &[11, 12]);
     let mut other_view = ready_view(other, &[11, 12]);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_silent_relay_is_passed_over_and_tried_again_later() {
+fn failed_relay_is_skipped_and_retried_later() {
     let [relay, other] = relay_and_other();
     let mut view = ready_view(other, &[11, 12]);
     let mut now = 1_000;
@@ -224,14 +224,17 @@
     assert_eq!(view.counters().switches, 1);
     let outputs = view.tick(at(now));
     let (number, target, _) = sent(&outputs);
-    assert!(target.0 <= 2, "a controller, since no other relay is left");
+    assert!(
+        target.0 <= 2,
+        "falls back to a controller without another relay"
+    );
     view.on_reply(at(now), number, heard(1, 40 * SECOND));
     let outputs = view.tick(at(now + 31_000));
     assert_eq!(sent(&outputs).1, NodeId(relay));
 }
 
 #[test]
-fn a_node_without_a_lease_asks_controllers_and_follows_the_one_that_leads() {
+fn node_without_lease_contacts_the_leading_controller() {
     let mut view = view(11, None);
     let outputs = view.tick(at(0));
     let (number, first, _) = sent(&outputs);
@@ -249,9 +252,9 @@
 }
 
 #[test]
-fn a_relay_hands_on_what_is_left_of_its_lease_to_starts_that_the_map_knows() {
+fn relay_grants_its_remaining_lease_to_registered_incarnations() {
     let mut relay = ready_view(11, &[11, 12]);
-    let ask = |relay: &mut NodeControlView, incarnation, millis| {
+    let send_heartbeat = |relay: &mut NodeControlView, incarnation, millis| {
         let mut member = gateway(12);
         member.incarnation = Incarnation(incarnation);
         let heartbeat = NodeHeartbeat {
@@ -260,14 +263,23 @@
         };
         relay.on_request(at(millis), &ControlRequest::Heartbeat(heartbeat))
     };
-    assert_eq!(ask(&mut relay, 1, 4_000), Some(heard(1, 6 * SECOND)));
-    assert_eq!(ask(&mut relay, 1, 11_000), Some(heard(1, Duration::ZERO)));
-    assert_eq!(ask(&mut relay, 2, 4_000), Some(heard(1, Duration::ZERO)));
+    assert_eq!(
+        send_heartbeat(&mut relay, 1, 4_000),
+        Some(heard(1, 6 * SECOND))
+    );
+    assert_eq!(
+        send_heartbeat(&mut relay, 1, 11_000),
+        Some(heard(1, Duration::ZERO))
+    );
+    assert_eq!(
+        send_heartbeat(&mut relay, 2, 4_000),
+        Some(heard(1, Duration::ZERO))
+    );
     assert_eq!(relay.counters().relayed, 3);
 }
 
 #[test]
-fn a_relay_passes_on_in_short_what_the_map_knows_and_in_full_what_it_does_not() {
+fn relay_forwards_known_members_in_short_form_and_unknown_in_full() {
     let mut relay = ready_view(11, &[11, 12]);
     for node in [12, 13] {
         let heartbeat = NodeHeartbeat {
@@ -298,19 +310,19 @@
     assert_eq!(
         report.heard.len(),
         1,
-        "what was passed on is not told again"
+        "forwarded heartbeats are not sent again"
     );
 }
 
 #[test]
-fn a_relay_answers_no_request_that_only_the_leader_can() {
+fn relay_does_not_answer_leader_requests() {
     let mut relay = ready_view(11, &[11]);
     let request = ControlRequest::GetSettings(None);
     assert_eq!(relay.on_request(at(0), &request), None);
 }
 
 #[test]
-fn a_leaving_node_says_so() {
+fn leaving_node_reports_its_state() {
     let mut view = ready_view(11, &[11]);
     view.set_leaving(true);
     let outputs = view.tick(at(1_000));
--- a/crates/courseshed-control/src/node/upstream.rs
+++ b/crates/courseshed-control/src/node/upstream.rs
@@ -1,7 +1,7 @@
-//! Whom a node asks for settings and map.
+//! Selection of the upstream from which a node obtains settings and the member map.
 //!
-//! In order: the live nodes of its zone that rank above it as relays, then the controllers. The best ranked node of
-//! a zone therefore asks the controllers itself, and no two nodes with the same map ever wait for each other.
+//! Candidates are the live nodes of the zone that rank above this node as relays, then the controllers. The highest
+//! ranked node of a zone therefore contacts the controllers directly, and nodes with the same map never form a cycle.
 
 use std::{collections::BTreeMap, sync::Arc, time::Duration};
 
@@ -13,7 +13,7 @@
 
 use super::ViewOptions;
 
-/// A controller as the node's settings file names it.
+/// A controller from the node's settings file.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControllerSeed {
     /// The controller.
@@ -22,7 +22,7 @@
     pub peer_address: String,
 }
 
-/// Where to send a request.
+/// Destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ControlTarget {
     /// The node.
@@ -31,20 +31,20 @@
     pub peer_address: String,
 }
 
-/// The choice of whom to ask.
+/// Upstream selection state.
 #[derive(Debug, Clone)]
 pub(super) struct Upstream {
     node: NodeId,
     seeds: Vec<ControllerSeed>,
-    failures_to_switch: u32,
-    prefer_again_after: Duration,
+    max_consecutive_failures: u32,
+    relay_retry_interval: Duration,
     failures: u32,
-    /// Relays that failed, and when.
-    passed_over: BTreeMap<NodeId, Timestamp>,
+    /// Relays that failed, with the time of failure.
+    failed_relays: BTreeMap<NodeId, Timestamp>,
     leader: Option<NodeId>,
     rotation: usize,
-    /// The relay asked last; none if that was a controller.
-    asked_relay: Option<NodeId>,
+    /// The relay contacted last; `None` if that was a controller.
+    last_relay: Option<NodeId>,
 }
 
 impl Upstream {
@@ -52,43 +52,44 @@
         Upstream {
             node,
             seeds,
-            failures_to_switch: options.failures_to_switch,
-            prefer_again_after: options.prefer_again_after,
+            max_consecutive_failures: options.max_consecutive_failures,
+            relay_retry_interval: options.relay_retry_interval,
             failures: 0,
-            passed_over: BTreeMap::new(),
+            failed_relays: BTreeMap::new(),
             leader: None,
             rotation: node.0 as usize,
-            asked_relay: None,
+            last_relay: None,
         }
     }
 
-    /// Whom to ask now; without a valid lease only controllers, since a relay may be as cut off as this node.
+    /// Returns the node to contact. Without a valid lease only controllers are used, since a relay may be partitioned
+    /// as well.
     pub(super) fn target(
         &mut self,
         now: Timestamp,
         member: &Member,
         map: &Arc<MemberMap>,
-        leased: bool,
+        has_lease: bool,
     ) -> Option<ControlTarget> {
-        let keep = self.prefer_again_after;
-        self.passed_over
-            .retain(|_, failed_at| now.since(*failed_at) <= keep);
-        let relay = self.relay(member, map).filter(|_| leased);
-        self.asked_relay = relay.as_ref().map(|target| target.node);
+        let retry_interval = self.relay_retry_interval;
+        self.failed_relays
+            .retain(|_, failed_at| now.since(*failed_at) <= retry_interval);
+        let relay = self.relay(member, map).filter(|_| has_lease);
+        self.last_relay = relay.as_ref().map(|target| target.node);
         relay.or_else(|| self.controller(map))
     }
 
     fn relay(&self, member: &Member, map: &MemberMap) -> Option<ControlTarget> {
         let ranked = relays_for(&member.zone, map);
-        let mut above = ranked.into_iter().take_while(|node| *node != self.node);
-        let node = above.find(|node| !self.passed_over.contains_key(node))?;
+        let mut higher_ranked = ranked.into_iter().take_while(|node| *node != self.node);
+        let node = higher_ranked.find(|node| !self.failed_relays.contains_key(node))?;
         Some(ControlTarget {
             node,
             peer_address: map.members.get(&node)?.peer_address.clone(),
         })
     }
 
-    /// The controller that leads as far as known, or else one after the other.
+    /// Returns the known leader among the controllers, or otherwise the next controller in rotation.
     pub(super) fn controller(&self, map: &MemberMap) -> Option<ControlTarget> {
         let controllers = self.controllers(map);
         if controllers.is_empty() {
@@ -101,7 +102,7 @@
         Some(leader.unwrap_or(next).clone())
     }
 
-    /// The controllers of the settings file, at the addresses of the map where it knows them, and those of the map.
+    /// Returns the controllers of the map, plus those of the settings file that the map does not contain.
     fn controllers(&self, map: &MemberMap) -> Vec<ControlTarget> {
         let mut targets: Vec<ControlTarget> = map
             .members
@@ -131,16 +132,16 @@
         self.failures = 0;
     }
 
-    /// Whether another upstream is taken from now on.
+    /// Records a failure; returns whether it switches to another upstream.
     pub(super) fn on_failure(&mut self, now: Timestamp) -> bool {
         self.failures += 1;
-        if self.failures < self.failures_to_switch {
+        if self.failures < self.max_consecutive_failures {
             return false;
         }
         self.failures = 0;
-        match self.asked_relay {
+        match self.last_relay {
             Some(relay) => {
-                self.passed_over.insert(relay, now);
+                self.failed_relays.insert(relay, now);
             }
             None => {
                 self.leader = None;
@@ -150,7 +151,8 @@
         true
     }
 
-    /// A controller that does not lead named the one that does; one that can't name it is not asked again at once.
+    /// Handles the leader reported by another controller. If no new leader is reported, the rotation advances to the
+    /// next controller.
     pub(super) fn set_leader(&mut self, leader: Option<NodeId>, map: &MemberMap) {
         if leader.is_none() || leader == self.leader {
             self.rotation = self.rotation.wrapping_add(1);
