--- a/crates/courseshed-control/src/model/escrow/mod.rs
+++ b/crates/courseshed-control/src/model/escrow/mod.rs
@@ -1,14 +1,14 @@
-//! The specification of escrow: the controllers' ledger and the accounts of shards, together.
+//! Specification of escrow: the controllers' ledger and the escrow accounts of shards.
 //!
-//! Messages between them are delivered in any order, late, twice or not at all, so a region cut off for a while is
-//! one of the delays explored. Leaders of shards change at any point, and a shard may lose all its replicas and be
-//! founded again, empty.
+//! Messages may be delayed, reordered, duplicated or lost, which includes temporary partitions of a region. Shard
+//! leaders may change at any point, and a shard may lose all replicas and be bootstrapped again without data.
 //!
-//! Promises checked in every state:
-//! - what shards have spent and may still spend never exceeds what the ledger counts as held;
+//! Invariants checked in every state:
+//! - tokens spent or spendable by shards never exceed the tokens that the ledger counts as held;
 //! - the ledger never grants beyond the budget in force;
-//! - what engines counted never exceeds the highest budget there was;
-//! - once nothing is under way, the ledger counts no more than what the shards hold, and what lost shards held.
+//! - tokens consumed on engines never exceed the highest budget so far;
+//! - without pending messages, and if no shard was lost, the ledger counts as held only what shards hold or have been
+//!   granted without applying it.
 
 mod scenario;
 mod shard;
@@ -22,10 +22,10 @@
     world::EscrowWorld,
 };
 
-/// More states than any scenario has.
+/// Search limit; larger than the state space of any scenario.
 const STATE_LIMIT: u64 = 60_000;
 
-/// Checks every scenario and every broken variant of it.
+/// Checks every scenario, without and with injected defects.
 pub fn check_all() -> Vec<ModelReport> {
     scenario::all().into_iter().map(check).collect()
 }
@@ -33,7 +33,7 @@
 fn check(scenario: Scenario) -> ModelReport {
     let found = run(&scenario, Defect::None);
     let variants = scenario.defects.iter().map(|defect| BrokenVariant {
-        name: defect.describe().to_owned(),
+        name: defect.description().to_owned(),
         caught: run(&scenario, *defect).counterexample,
     });
     ModelReport {
--- a/crates/courseshed-control/src/model/escrow/scenario.rs
+++ b/crates/courseshed-control/src/model/escrow/scenario.rs
@@ -1,21 +1,21 @@
-//! What is explored: how much each shard does, which faults happen, and the rules broken on purpose.
+//! Scenarios to explore: shard activity, faults and injected defects.
 
-/// How often each thing may happen in one run.
+/// Maximum number of each fault in one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Faults {
-    /// Messages lost.
+    /// Lost messages.
     pub losses: u8,
-    /// Messages delivered twice.
+    /// Duplicated messages.
     pub duplicates: u8,
-    /// Shard leaders lost, with what they had asked for.
+    /// Shard leaders lost together with their pending requests.
     pub leader_changes: u8,
-    /// Shards that lose all replicas and are founded again.
-    pub refoundings: u8,
-    /// Ends of a budget's period.
+    /// Shards that lose all replicas and are bootstrapped again.
+    pub generation_losses: u8,
+    /// Ends of a budget period.
     pub periods: u8,
 }
 
-/// What one shard may do in one run.
+/// Maximum number of operations of each shard in one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ShardWork {
     pub requests: u8,
@@ -23,57 +23,61 @@
     pub returns: u8,
 }
 
-/// The settings of the branches at one version: tokens of the budget of the root and of the branch the shards work for.
+/// Token budgets of the root and of the branch used by the shards, in one settings version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct Budgets {
-    /// None is unlimited.
+    /// `None` is unlimited.
     pub root: Option<u64>,
-    /// None is unlimited.
+    /// `None` is unlimited.
     pub branch: Option<u64>,
-    /// Whether the branch has been moved to another place of the tree.
+    /// Whether the branch has been moved to another path.
     pub is_moved: bool,
 }
 
-/// One world to explore.
+/// A configuration to explore.
 #[derive(Debug, Clone)]
 pub(super) struct Scenario {
     pub name: &'static str,
     pub shards: u32,
     pub work: ShardWork,
-    /// Settings in the order in which operators accept them; the first are in force at the start.
+    /// Settings in order of acceptance; the first are in force initially.
     pub settings: Vec<Budgets>,
     pub faults: Faults,
     pub defects: Vec<Defect>,
 }
 
-/// A rule broken on purpose.
+/// A defect injected to verify that the search detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Defect {
     None,
     GrantIssuedTwice,
     GrantAppliedTwice,
-    ReturnTakenTwice,
+    ReturnAppliedTwice,
     ReturnNotCommitted,
     GenerationIgnored,
-    AnswerNotMatched,
+    ReplyNotMatched,
     LostEscrowReleased,
-    LiftedBudgetNotCounted,
-    SettledInPresentPeriod,
+    UnbudgetedGrantNotCounted,
+    SettledInCurrentPeriod,
 }
 
 impl Defect {
-    pub fn describe(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Defect::None => "nothing",
-            Defect::GrantIssuedTwice => "the ledger grants a resent request again",
-            Defect::GrantAppliedTwice => "a shard adds a grant whatever its number",
-            Defect::ReturnTakenTwice => "the ledger takes a return again that it took before",
-            Defect::ReturnNotCommitted => "a shard returns tokens before it has committed to do so",
-            Defect::GenerationIgnored => "a shard founded again numbers on as the lost one did",
-            Defect::AnswerNotMatched => "a shard takes a late answer to the lost one for its own",
-            Defect::LostEscrowReleased => "the ledger takes back what a lost shard held",
-            Defect::LiftedBudgetNotCounted => "grants are not counted while a budget is lifted",
-            Defect::SettledInPresentPeriod => {
+            Defect::None => "no defect",
+            Defect::GrantIssuedTwice => "the ledger grants a resent request twice",
+            Defect::GrantAppliedTwice => "a shard applies a grant without checking its number",
+            Defect::ReturnAppliedTwice => "the ledger applies a return twice",
+            Defect::ReturnNotCommitted => "a shard returns tokens before committing the return",
+            Defect::GenerationIgnored => {
+                "a rebootstrapped shard keeps the generation of the lost one"
+            }
+            Defect::ReplyNotMatched => "a shard accepts a late reply to a lost generation",
+            Defect::LostEscrowReleased => "the ledger releases tokens held by a lost shard",
+            Defect::UnbudgetedGrantNotCounted => {
+                "grants are not counted while a branch has no budget"
+            }
+            Defect::SettledInCurrentPeriod => {
                 "an attempt is settled in the period in which it ends"
             }
         }
@@ -81,7 +85,7 @@
 }
 
 impl Scenario {
-    /// The bounds, for people.
+    /// Describes the bounds for the report.
     pub fn bounds(&self) -> String {
         let ShardWork {
             requests,
@@ -92,13 +96,13 @@
             losses,
             duplicates,
             leader_changes,
-            refoundings,
+            generation_losses,
             periods,
         } = self.faults;
         format!(
             "{} shards, each up to {requests} requests, {attempts} attempts, {returns} returns; {} settings; \
-             {losses} losses, {duplicates} duplicates, {leader_changes} leader changes, {refoundings} refoundings, \
-             {periods} ends of a period; any delay and order",
+             {losses} losses, {duplicates} duplicates, {leader_changes} leader changes, \
+             {generation_losses} lost generations, {periods} period ends; any delay and order",
             self.shards,
             self.settings.len(),
         )
@@ -109,11 +113,11 @@
 pub(super) fn all() -> Vec<Scenario> {
     vec![
         two_shards(),
-        lossy_link(),
-        founded_again(),
-        lowered_and_lifted(),
+        lossy_network(),
+        lost_generation(),
+        lowered_and_removed_budget(),
         moved_branch(),
-        next_period(),
+        period_end(),
     ]
 }
 
@@ -135,7 +139,7 @@
 
 fn two_shards() -> Scenario {
     Scenario {
-        name: "two shards of one budget",
+        name: "two shards sharing a budget",
         shards: 2,
         work: work(1, 1, 1),
         settings: vec![root_only(Some(3))],
@@ -143,13 +147,13 @@
             duplicates: 1,
             ..Faults::default()
         },
-        defects: vec![Defect::ReturnTakenTwice, Defect::ReturnNotCommitted],
+        defects: vec![Defect::ReturnAppliedTwice, Defect::ReturnNotCommitted],
     }
 }
 
-fn lossy_link() -> Scenario {
+fn lossy_network() -> Scenario {
     Scenario {
-        name: "lost and doubled messages, and leaders of a shard that change",
+        name: "lost and duplicated messages, and shard leader changes",
         shards: 1,
         work: work(2, 1, 2),
         settings: vec![root_only(Some(3))],
@@ -162,39 +166,39 @@
         defects: vec![
             Defect::GrantIssuedTwice,
             Defect::GrantAppliedTwice,
-            Defect::ReturnTakenTwice,
+            Defect::ReturnAppliedTwice,
         ],
     }
 }
 
-fn founded_again() -> Scenario {
+fn lost_generation() -> Scenario {
     Scenario {
-        name: "a shard that is lost and founded again",
+        name: "a shard that is lost and bootstrapped again",
         shards: 1,
         work: work(2, 1, 1),
         settings: vec![root_only(Some(3))],
         faults: Faults {
             duplicates: 1,
-            refoundings: 1,
+            generation_losses: 1,
             ..Faults::default()
         },
         defects: vec![
             Defect::GenerationIgnored,
-            Defect::AnswerNotMatched,
+            Defect::ReplyNotMatched,
             Defect::LostEscrowReleased,
         ],
     }
 }
 
-fn lowered_and_lifted() -> Scenario {
+fn lowered_and_removed_budget() -> Scenario {
     let steps = [Some(3), Some(1), None, Some(3)];
     Scenario {
-        name: "a budget lowered, lifted and set again",
+        name: "a budget lowered, removed and set again",
         shards: 2,
         work: work(1, 0, 1),
         settings: steps.map(root_only).to_vec(),
         faults: Faults::default(),
-        defects: vec![Defect::LiftedBudgetNotCounted],
+        defects: vec![Defect::UnbudgetedGrantNotCounted],
     }
 }
 
@@ -205,7 +209,7 @@
         is_moved,
     };
     Scenario {
-        name: "a branch that is moved while its budget is in use",
+        name: "a branch moved while its budget is in use",
         shards: 1,
         work: work(3, 2, 1),
         settings: vec![below_root(false), below_root(true)],
@@ -217,9 +221,9 @@
     }
 }
 
-fn next_period() -> Scenario {
+fn period_end() -> Scenario {
     Scenario {
-        name: "attempts over the end of a period",
+        name: "attempts that span the end of a period",
         shards: 1,
         work: work(2, 2, 1),
         settings: vec![root_only(Some(2))],
@@ -228,6 +232,6 @@
             periods: 1,
             ..Faults::default()
         },
-        defects: vec![Defect::SettledInPresentPeriod],
+        defects: vec![Defect::SettledInCurrentPeriod],
     }
 }
--- a/crates/courseshed-control/src/model/escrow/shard.rs
+++ b/crates/courseshed-control/src/model/escrow/shard.rs
@@ -1,4 +1,4 @@
-//! A shard's side: the real accounts, and what its leader does with them.
+//! Model of a shard: the production escrow accounts and the leader that uses them.
 
 use courseshed_programs::{
     ApplyGrant, BudgetPeriod,
@@ -11,23 +11,23 @@
 
 use super::scenario::{Defect, ShardWork};
 
-/// Tokens a leader asks for.
+/// Tokens per grant request.
 pub(super) const WANTED: Tokens = Tokens(2);
-/// The worst case of an attempt.
+/// Maximum tokens of an attempt.
 pub(super) const WORST_CASE: Tokens = Tokens(1);
 
-/// One shard: what is replicated, and what its leader remembers.
+/// One shard: its replicated state and the state of its leader.
 #[derive(Debug, Clone)]
 pub(super) struct ModelShard {
     pub id: ShardId,
     pub generation: u32,
     pub escrow: EscrowLedger,
     pub attempts: Vec<Reservation>,
-    /// What the present leader has asked for; lost with it.
-    pub asked: Vec<GrantRequest>,
-    /// Settings as far as the shard has heard.
-    pub settings_seen: usize,
-    pub left: ShardWork,
+    /// Pending requests of the current leader; lost when the leader is lost.
+    pub pending: Vec<GrantRequest>,
+    /// Index of the settings that the shard has received.
+    pub received_settings: usize,
+    pub remaining: ShardWork,
 }
 
 impl ModelShard {
@@ -37,28 +37,31 @@
             generation: 1,
             escrow: EscrowLedger::default(),
             attempts: Vec::new(),
-            asked: Vec::new(),
-            settings_seen: 0,
-            left: work,
+            pending: Vec::new(),
+            received_settings: 0,
+            remaining: work,
         }
     }
 
-    /// All replicas are lost; the next generation knows nothing.
-    pub fn found_again(&mut self, defect: Defect) {
-        let is_renumbered = defect != Defect::GenerationIgnored;
-        self.generation += u32::from(is_renumbered);
+    /// Loses all replicas and starts the next generation without data.
+    pub fn bootstrap_again(&mut self, defect: Defect) {
+        let starts_generation = defect != Defect::GenerationIgnored;
+        self.generation += u32::from(starts_generation);
         self.escrow = EscrowLedger::default();
         self.attempts.clear();
-        self.asked.clear();
+        self.pending.clear();
     }
 
-    /// The request for a budget, unless one is under way.
-    pub fn ask(&mut self, budget: &BudgetPeriod) -> Option<GrantRequest> {
-        let is_asked = self.asked.iter().any(|asked| budget_of(asked) == *budget);
-        if is_asked || self.left.requests == 0 {
+    /// Creates a grant request for a budget, unless one is pending.
+    pub fn request_grant(&mut self, budget: &BudgetPeriod) -> Option<GrantRequest> {
+        let is_pending = self
+            .pending
+            .iter()
+            .any(|pending| budget_of(pending) == *budget);
+        if is_pending || self.remaining.requests == 0 {
             return None;
         }
-        self.left.requests -= 1;
+        self.remaining.requests -= 1;
         let last = self.escrow.account(budget);
         let request = GrantRequest {
             shard: self.id,
@@ -69,21 +72,21 @@
             wanted: WANTED,
             needed: WANTED,
         };
-        self.asked.push(request.clone());
+        self.pending.push(request.clone());
         Some(request)
     }
 
-    /// An answer: committed if it is the one waited for.
+    /// Handles a grant; applies it if it matches a pending request.
     pub fn on_grant(&mut self, grant: &Grant, defect: Defect) {
-        let is_same = |asked: &GrantRequest| match defect {
-            Defect::AnswerNotMatched => {
-                budget_of(asked) == budget_of(&grant.request)
-                    && asked.number == grant.request.number
+        let matches = |pending: &GrantRequest| match defect {
+            Defect::ReplyNotMatched => {
+                budget_of(pending) == budget_of(&grant.request)
+                    && pending.number == grant.request.number
             }
-            _ => *asked == grant.request,
+            _ => *pending == grant.request,
         };
-        let place = self.asked.iter().position(is_same);
-        if place.is_none() && defect != Defect::GrantAppliedTwice {
+        let position = self.pending.iter().position(matches);
+        if position.is_none() && defect != Defect::GrantAppliedTwice {
             return;
         }
         let mut grant = grant.clone();
@@ -95,24 +98,24 @@
             grant,
             period_ends_at: Timestamp::MAX,
         });
-        if let Some(place) = place {
-            self.asked.remove(place);
+        if let Some(position) = position {
+            self.pending.remove(position);
         }
     }
 
-    /// Begins an attempt if every budget covers it.
-    pub fn begin_attempt(&mut self, budgets: Vec<BudgetPeriod>) -> bool {
-        let is_short = self.escrow.first_short(&budgets, WORST_CASE).is_some();
-        if is_short || self.left.attempts == 0 || budgets.is_empty() {
+    /// Starts an attempt if the escrow of every budget covers it.
+    pub fn start_attempt(&mut self, budgets: Vec<BudgetPeriod>) -> bool {
+        let is_insufficient = self.escrow.first_short(&budgets, WORST_CASE).is_some();
+        if is_insufficient || self.remaining.attempts == 0 || budgets.is_empty() {
             return false;
         }
-        self.left.attempts -= 1;
+        self.remaining.attempts -= 1;
         let reservation = self.escrow.reserve(budgets, WORST_CASE);
         self.attempts.push(reservation);
         true
     }
 
-    /// Ends the first attempt; what it was charged to.
+    /// Ends the oldest attempt and returns the budgets charged.
     pub fn end_attempt(
         &mut self,
         spent: Tokens,
@@ -124,7 +127,7 @@
         }
         let mut reservation = self.attempts.remove(0);
         let charged = reservation.budgets.clone();
-        if defect == Defect::SettledInPresentPeriod {
+        if defect == Defect::SettledInCurrentPeriod {
             for budget in &mut reservation.budgets {
                 budget.period = period;
             }
@@ -133,13 +136,13 @@
         Some(charged)
     }
 
-    /// Gives back what is unspent of a budget.
-    pub fn give_back(&mut self, budget: &BudgetPeriod, defect: Defect) -> Option<GrantReturn> {
-        let is_used = self
+    /// Returns unspent tokens of a budget.
+    pub fn return_unspent(&mut self, budget: &BudgetPeriod, defect: Defect) -> Option<GrantReturn> {
+        let is_in_use = self
             .attempts
             .iter()
             .any(|attempt| attempt.budgets.contains(budget));
-        if self.left.returns == 0 || is_used {
+        if self.remaining.returns == 0 || is_in_use {
             return None;
         }
         let returned = if defect == Defect::ReturnNotCommitted {
@@ -149,18 +152,18 @@
         } else {
             self.escrow.begin_return(self.id, self.generation, budget)
         };
-        self.left.returns -= u8::from(returned.is_some());
+        self.remaining.returns -= u8::from(returned.is_some());
         returned
     }
 
-    /// Whether nothing of the shard is under way.
-    pub fn is_quiet(&self) -> bool {
+    /// Whether the shard has no pending requests or returns.
+    pub fn is_idle(&self) -> bool {
         let mut accounts = self.escrow.accounts();
-        self.asked.is_empty() && accounts.all(|(_, account)| account.pending_return.is_none())
+        self.pending.is_empty() && accounts.all(|(_, account)| account.pending_return.is_none())
     }
 
-    /// What the shard has spent and may still spend of a budget.
-    pub fn holds(&self, budget: &BudgetPeriod) -> Tokens {
+    /// Tokens of a budget that the shard has spent or can still spend.
+    pub fn spent_or_spendable(&self, budget: &BudgetPeriod) -> Tokens {
         let account = self.escrow.account(budget);
         account.map_or(Tokens::ZERO, |account| {
             account
--- a/crates/courseshed-control/src/model/escrow/world.rs
+++ b/crates/courseshed-control/src/model/escrow/world.rs
@@ -1,4 +1,4 @@
-//! The world: one ledger, its shards, what is under way between them, and an observer who counts.
+//! Model state: one ledger, its shards, the messages between them, and the token counts used by the invariants.
 
 use std::{collections::BTreeMap, hash::Hasher, sync::Arc, time::Duration};
 
@@ -21,36 +21,37 @@
 use crate::{ApplyOutcome, CommandBody, CommandOrigin, ControlCommand, ControlState};
 
 const PERIOD: Duration = Duration::from_secs(3_600);
-/// A number larger than any that a shard gives.
-const FRESH_NUMBERS: u64 = 1_000;
+/// Request numbers from here on are never used by shards.
+const FIRST_UNUSED_NUMBER: u64 = 1_000;
 
-/// A message under way.
+/// A message in transit.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-enum Wire {
+enum Message {
     Request(GrantRequest),
     Granted(Grant),
     Return(GrantReturn),
-    Taken(GrantReturn),
+    #[serde(rename = "Taken")]
+    ReturnAck(GrantReturn),
 }
 
-/// One state.
+/// A state of the model.
 #[derive(Debug, Clone)]
 pub(super) struct EscrowWorld {
     scenario: Arc<Scenario>,
     defect: Defect,
     control: ControlState,
-    /// Commands applied so far; also makes numbers that no shard gave, for broken variants.
+    /// Number of applied commands; also used by injected defects to create unused request numbers.
     commands: u64,
     settings: usize,
     period: u64,
     shards: Vec<ModelShard>,
-    network: Vec<Wire>,
-    left: Faults,
-    /// What engines counted, by the budget that covered it.
-    counted: BTreeMap<BudgetPeriod, Tokens>,
-    /// What lost shards had spent and could still have spent.
+    network: Vec<Message>,
+    remaining: Faults,
+    /// Tokens consumed on engines, by budget.
+    consumed: BTreeMap<BudgetPeriod, Tokens>,
+    /// Tokens that lost shards had spent or could still spend, by budget.
     lost: BTreeMap<BudgetPeriod, Tokens>,
-    broken: Option<&'static str>,
+    ledger_violation: Option<&'static str>,
 }
 
 impl EscrowWorld {
@@ -58,7 +59,7 @@
         let shards = (1..=scenario.shards).map(|id| ModelShard::new(id, scenario.work));
         let mut world = EscrowWorld {
             shards: shards.collect(),
-            left: scenario.faults,
+            remaining: scenario.faults,
             scenario: Arc::new(scenario.clone()),
             defect,
             control: ControlState::default(),
@@ -66,9 +67,9 @@
             settings: 0,
             period: 0,
             network: Vec::new(),
-            counted: BTreeMap::new(),
+            consumed: BTreeMap::new(),
             lost: BTreeMap::new(),
-            broken: None,
+            ledger_violation: None,
         };
         world.accept_settings(0);
         world
@@ -87,7 +88,7 @@
         self.run(CommandBody::ApplySettings { change, policy });
     }
 
-    /// Applies a command to the real state machine, as its log would.
+    /// Applies a command to the production state machine as a log entry.
     fn run(&mut self, body: CommandBody) -> ApplyOutcome {
         self.commands += 1;
         let command = ControlCommand {
@@ -106,21 +107,23 @@
         self.control.ledger().held(&budget.branch, budget.period)
     }
 
-    /// What shards, lost ones included, have spent and may still spend.
+    /// Tokens that shards, including lost ones, have spent or can still spend.
     fn spendable(&self, budget: &BudgetPeriod) -> Tokens {
         let lost = self.lost.get(budget).copied().unwrap_or_default();
         let shards = self.shards.iter();
-        shards.fold(lost, |sum, shard| sum.saturating_add(shard.holds(budget)))
+        shards.fold(lost, |sum, shard| {
+            sum.saturating_add(shard.spent_or_spendable(budget))
+        })
     }
 
-    /// Granted by the ledger to a shard that has not added it yet.
-    fn not_added(&self, budget: &BudgetPeriod) -> Tokens {
+    /// Tokens granted by the ledger that shards have not applied yet.
+    fn unapplied_grants(&self, budget: &BudgetPeriod) -> Tokens {
         let ledger = self.control.ledger();
         let of_shard = |shard: &ModelShard| {
             let last = ledger.last_grant(shard.id, &budget.branch, budget.period);
-            let added = shard.escrow.account(budget);
-            let added = added.map_or(0, |account| account.last_grant);
-            last.filter(|last| last.number > added)
+            let applied = shard.escrow.account(budget);
+            let applied = applied.map_or(0, |account| account.last_grant);
+            last.filter(|last| last.number > applied)
                 .map_or(Tokens::ZERO, |last| last.granted)
         };
         let shards = self.shards.iter();
@@ -142,7 +145,7 @@
             .collect()
     }
 
-    /// All budgets there ever were, in all periods so far.
+    /// All budgets in all periods up to the next one.
     fn all_budgets(&self) -> Vec<BudgetPeriod> {
         let paths = [BranchPath::root(), branch_path(false), branch_path(true)];
         let periods = 0..=self.period + 1;
@@ -156,49 +159,51 @@
         policy.budget.map(|budget| budget.tokens)
     }
 
-    /// A shard's request reaches the ledger.
+    /// Handles a grant request at the ledger.
     fn on_request(&mut self, request: &GrantRequest) {
         let budget = super::shard::budget_of(request);
         let limit = self.limit_in_force(&budget);
         let exists = self.control.policy().branch(&budget.branch).is_some();
-        if self.defect == Defect::LiftedBudgetNotCounted && exists && limit.is_none() {
+        if self.defect == Defect::UnbudgetedGrantNotCounted && exists && limit.is_none() {
             let granted = request.wanted;
             let request = request.clone();
-            self.network.push(Wire::Granted(Grant { request, granted }));
+            self.network
+                .push(Message::Granted(Grant { request, granted }));
             return;
         }
         let before = self.held(&budget);
-        let mut asked = request.clone();
+        let mut to_apply = request.clone();
         if self.defect == Defect::GrantIssuedTwice {
-            asked.number = FRESH_NUMBERS + self.commands;
+            to_apply.number = FIRST_UNUSED_NUMBER + self.commands;
         }
-        let outcome = self.run(CommandBody::Grant(asked));
+        let outcome = self.run(CommandBody::Grant(to_apply));
         let after = self.held(&budget);
         if after > before && limit.is_some_and(|limit| after > limit) {
-            self.broken = Some("the ledger never grants beyond the budget in force");
+            self.ledger_violation = Some("the ledger never grants beyond the budget in force");
         }
         if let ApplyOutcome::Granted(grant) = outcome {
             let request = request.clone();
             let granted = grant.granted;
-            self.network.push(Wire::Granted(Grant { request, granted }));
+            self.network
+                .push(Message::Granted(Grant { request, granted }));
         }
     }
 
     fn on_return(&mut self, returned: &GrantReturn) {
-        let mut taken = returned.clone();
-        if self.defect == Defect::ReturnTakenTwice {
-            taken.number = FRESH_NUMBERS + self.commands;
+        let mut to_apply = returned.clone();
+        if self.defect == Defect::ReturnAppliedTwice {
+            to_apply.number = FIRST_UNUSED_NUMBER + self.commands;
         }
-        self.run(CommandBody::ReturnGrant(taken));
-        self.network.push(Wire::Taken(returned.clone()));
+        self.run(CommandBody::ReturnGrant(to_apply));
+        self.network.push(Message::ReturnAck(returned.clone()));
     }
 
-    fn receive(&mut self, message: &Wire) {
+    fn receive(&mut self, message: &Message) {
         let defect = self.defect;
         match message {
-            Wire::Request(request) => self.on_request(request),
-            Wire::Return(returned) => self.on_return(returned),
-            Wire::Granted(grant) => {
+            Message::Request(request) => self.on_request(request),
+            Message::Return(returned) => self.on_return(returned),
+            Message::Granted(grant) => {
                 let shard = self
                     .shards
                     .iter_mut()
@@ -207,42 +212,45 @@
                     shard.on_grant(grant, defect);
                 }
             }
-            Wire::Taken(taken) => {
-                let shard = self.shards.iter_mut().find(|shard| shard.id == taken.shard);
+            Message::ReturnAck(returned) => {
+                let shard = self
+                    .shards
+                    .iter_mut()
+                    .find(|shard| shard.id == returned.shard);
                 if let Some(shard) = shard {
-                    shard.escrow.finish_return(taken);
+                    shard.escrow.finish_return(returned);
                 }
             }
         }
     }
 
-    fn lose_shard(&mut self, place: usize) {
+    fn lose_shard(&mut self, index: usize) {
         for budget in self.all_budgets() {
-            let holds = self.shards[place].holds(&budget);
+            let holds = self.shards[index].spent_or_spendable(&budget);
             let lost = self.lost.entry(budget.clone()).or_default();
             *lost = lost.saturating_add(holds);
             if self.defect == Defect::LostEscrowReleased {
                 self.run(CommandBody::ReturnGrant(GrantReturn {
-                    shard: self.shards[place].id,
-                    generation: self.shards[place].generation,
-                    number: FRESH_NUMBERS,
+                    shard: self.shards[index].id,
+                    generation: self.shards[index].generation,
+                    number: FIRST_UNUSED_NUMBER,
                     branch: budget.branch,
                     period: budget.period,
                     returned: Tokens(u64::MAX),
                 }));
             }
         }
-        self.shards[place].found_again(self.defect);
+        self.shards[index].bootstrap_again(self.defect);
     }
 
-    fn end_attempt(&mut self, place: usize, spent: Tokens) -> bool {
+    fn end_attempt(&mut self, index: usize, spent: Tokens) -> bool {
         let (period, defect) = (self.period, self.defect);
-        let Some(charged) = self.shards[place].end_attempt(spent, period, defect) else {
+        let Some(charged) = self.shards[index].end_attempt(spent, period, defect) else {
             return false;
         };
         for budget in charged {
-            let counted = self.counted.entry(budget).or_default();
-            *counted = counted.saturating_add(spent);
+            let consumed = self.consumed.entry(budget).or_default();
+            *consumed = consumed.saturating_add(spent);
         }
         true
     }
@@ -266,52 +274,52 @@
     fn budget_violation(&self, budget: &BudgetPeriod) -> Option<&'static str> {
         let held = self.held(budget);
         let spendable = self.spendable(budget);
-        let counted = self.counted.get(budget).copied().unwrap_or_default();
+        let consumed = self.consumed.get(budget).copied().unwrap_or_default();
         if spendable > held {
-            return Some("shards hold no more than the ledger counts as held");
+            return Some("shards hold no more tokens than the ledger counts as held");
         }
         if self
             .highest_limit(budget)
-            .is_some_and(|limit| counted > limit)
+            .is_some_and(|limit| consumed > limit)
         {
-            return Some("engines never count more than the budget");
+            return Some("tokens consumed on engines never exceed the budget");
         }
-        let is_quiet = self.network.is_empty() && self.shards.iter().all(ModelShard::is_quiet);
-        let none_lost = self.left.refoundings == self.scenario.faults.refoundings;
-        let expected = spendable.saturating_add(self.not_added(budget));
-        if is_quiet && none_lost && held != expected {
-            return Some("escrow that nobody holds comes back");
+        let is_idle = self.network.is_empty() && self.shards.iter().all(ModelShard::is_idle);
+        let none_lost = self.remaining.generation_losses == self.scenario.faults.generation_losses;
+        let expected = spendable.saturating_add(self.unapplied_grants(budget));
+        if is_idle && none_lost && held != expected {
+            return Some("the ledger counts no escrow that no shard holds");
         }
         None
     }
 
-    /// Steps of the network.
+    /// Successor states by message delivery, duplication or loss.
     fn deliveries(&self) -> Vec<(String, EscrowWorld)> {
         let mut next = Vec::new();
-        for (place, message) in self.network.iter().enumerate() {
+        for (index, message) in self.network.iter().enumerate() {
             let mut delivered = self.clone();
-            delivered.network.remove(place);
+            delivered.network.remove(index);
             delivered.receive(message);
             next.push((format!("deliver {message:?}"), delivered));
-            if self.left.duplicates > 0 {
+            if self.remaining.duplicates > 0 {
                 let mut kept = self.clone();
-                kept.left.duplicates -= 1;
+                kept.remaining.duplicates -= 1;
                 kept.receive(message);
-                next.push((format!("deliver a copy of {message:?}"), kept));
+                next.push((format!("deliver a duplicate of {message:?}"), kept));
             }
-            if self.left.losses > 0 {
+            if self.remaining.losses > 0 {
                 let mut lost = self.clone();
-                lost.left.losses -= 1;
-                lost.network.remove(place);
+                lost.remaining.losses -= 1;
+                lost.network.remove(index);
                 next.push((format!("lose {message:?}"), lost));
             }
         }
         next
     }
 
-    /// Steps of one shard.
-    fn shard_steps(&self, place: usize) -> Vec<(String, EscrowWorld)> {
-        let id = self.shards[place].id;
+    /// Successor states by an operation of one shard.
+    fn shard_steps(&self, index: usize) -> Vec<(String, EscrowWorld)> {
+        let id = self.shards[index].id;
         let mut next = Vec::new();
         let mut step = |name: String, change: &dyn Fn(&mut EscrowWorld) -> bool| {
             let mut world = self.clone();
@@ -319,79 +327,81 @@
                 next.push((format!("shard {id}: {name}"), world));
             }
         };
-        let budgets = self.budgets_at(self.shards[place].settings_seen);
+        let budgets = self.budgets_at(self.shards[index].received_settings);
         for budget in &budgets {
-            step(format!("ask for {budget:?}"), &|world| {
-                let request = world.shards[place].ask(budget);
-                world.send(request.map(Wire::Request))
+            step(format!("request {budget:?}"), &|world| {
+                let request = world.shards[index].request_grant(budget);
+                world.send(request.map(Message::Request))
             });
         }
         for budget in self.all_budgets() {
-            step(format!("give {budget:?} back"), &|world| {
+            step(format!("return {budget:?}"), &|world| {
                 let defect = world.defect;
-                let returned = world.shards[place].give_back(&budget, defect);
-                world.send(returned.map(Wire::Return))
+                let returned = world.shards[index].return_unspent(&budget, defect);
+                world.send(returned.map(Message::Return))
             });
         }
-        step("begin an attempt".to_owned(), &|world| {
-            world.shards[place].begin_attempt(budgets.clone())
+        step("start an attempt".to_owned(), &|world| {
+            world.shards[index].start_attempt(budgets.clone())
         });
         for spent in [Tokens::ZERO, WORST_CASE] {
-            step(format!("an attempt ends, {spent:?} spent"), &|world| {
-                world.end_attempt(place, spent)
+            step(format!("end an attempt, {spent:?} spent"), &|world| {
+                world.end_attempt(index, spent)
             });
         }
-        step("hear of the newest settings".to_owned(), &|world| {
-            let is_news = world.shards[place].settings_seen < world.settings;
-            world.shards[place].settings_seen = world.settings;
-            is_news
+        step("receive the newest settings".to_owned(), &|world| {
+            let is_changed = world.shards[index].received_settings < world.settings;
+            world.shards[index].received_settings = world.settings;
+            is_changed
         });
-        step("send again what was not answered".to_owned(), &|world| {
-            world.resend(place)
+        step("resend pending messages".to_owned(), &|world| {
+            world.resend(index)
         });
-        step("the leader is lost".to_owned(), &|world| {
-            let had_asked = !world.shards[place].asked.is_empty();
-            let may = world.left.leader_changes > 0 && had_asked;
-            world.left.leader_changes -= u8::from(may);
-            world.shards[place].asked.clear();
-            may
+        step("lose the leader".to_owned(), &|world| {
+            let has_pending = !world.shards[index].pending.is_empty();
+            let is_allowed = world.remaining.leader_changes > 0 && has_pending;
+            world.remaining.leader_changes -= u8::from(is_allowed);
+            world.shards[index].pending.clear();
+            is_allowed
         });
-        step("all replicas are lost".to_owned(), &|world| {
-            let may = world.left.refoundings > 0;
-            world.left.refoundings -= u8::from(may);
-            if may {
-                world.lose_shard(place);
+        step("lose all replicas".to_owned(), &|world| {
+            let is_allowed = world.remaining.generation_losses > 0;
+            world.remaining.generation_losses -= u8::from(is_allowed);
+            if is_allowed {
+                world.lose_shard(index);
             }
-            may
+            is_allowed
         });
         next
     }
 
-    fn send(&mut self, message: Option<Wire>) -> bool {
+    fn send(&mut self, message: Option<Message>) -> bool {
         let is_sent = message.is_some();
         self.network.extend(message);
         is_sent
     }
 
-    /// Whether the message or its answer is under way. Sending again meanwhile is what a doubled message explores.
-    fn is_under_way(&self, message: &Wire) -> bool {
+    /// Whether the message or its reply is in transit. Resending in that case is covered by message duplication.
+    fn is_in_transit(&self, message: &Message) -> bool {
         self.network.iter().any(|other| match (message, other) {
-            (Wire::Request(asked), Wire::Granted(grant)) => grant.request == *asked,
-            (Wire::Return(returned), Wire::Taken(taken)) => returned == taken,
+            (Message::Request(request), Message::Granted(grant)) => grant.request == *request,
+            (Message::Return(returned), Message::ReturnAck(acknowledged)) => {
+                returned == acknowledged
+            }
             _ => message == other,
         })
     }
 
-    fn resend(&mut self, place: usize) -> bool {
-        let shard = &self.shards[place];
-        let requests = shard.asked.iter().cloned().map(Wire::Request);
+    fn resend(&mut self, index: usize) -> bool {
+        let shard = &self.shards[index];
+        let requests = shard.pending.iter().cloned().map(Message::Request);
         let accounts = shard.escrow.accounts();
         let returns = accounts.filter_map(|(_, account)| account.pending_return.clone());
-        let mut messages: Vec<Wire> = requests.chain(returns.map(Wire::Return)).collect();
-        messages.retain(|message| !self.is_under_way(message));
-        let is_news = !messages.is_empty();
+        let mut messages: Vec<Message> = requests.chain(returns.map(Message::Return)).collect();
+        messages.retain(|message| !self.is_in_transit(message));
+        let is_changed = !messages.is_empty();
         self.network.extend(messages);
-        is_news
+        is_changed
     }
 
     fn operator_steps(&self) -> Vec<(String, EscrowWorld)> {
@@ -400,13 +410,13 @@
             let mut changed = self.clone();
             changed.accept_settings(self.settings + 1);
             let budgets = self.scenario.settings[self.settings + 1];
-            next.push((format!("settings are accepted: {budgets:?}"), changed));
+            next.push((format!("accept settings: {budgets:?}"), changed));
         }
-        if self.left.periods > 0 {
+        if self.remaining.periods > 0 {
             let mut later = self.clone();
-            later.left.periods -= 1;
+            later.remaining.periods -= 1;
             later.period += 1;
-            next.push(("the period ends".to_owned(), later));
+            next.push(("end the period".to_owned(), later));
         }
         next
     }
@@ -418,10 +428,14 @@
         hasher.write_usize(self.settings);
         hasher.write_u64(self.period);
         for shard in &self.shards {
-            let left = [shard.left.requests, shard.left.attempts, shard.left.returns];
-            hash_encoded(&(&shard.escrow, shard.generation, left), hasher);
+            let remaining = [
+                shard.remaining.requests,
+                shard.remaining.attempts,
+                shard.remaining.returns,
+            ];
+            hash_encoded(&(&shard.escrow, shard.generation, remaining), hasher);
             hash_encoded(
-                &(&shard.attempts, &shard.asked, shard.settings_seen),
+                &(&shard.attempts, &shard.pending, shard.received_settings),
                 hasher,
             );
         }
@@ -432,16 +446,16 @@
             .collect();
         messages.sort();
         hash_encoded(&messages, hasher);
-        std::hash::Hash::hash(&self.left, hasher);
-        let counted: Vec<_> = self.counted.iter().collect();
+        std::hash::Hash::hash(&self.remaining, hasher);
+        let consumed: Vec<_> = self.consumed.iter().collect();
         let lost: Vec<_> = self.lost.iter().collect();
-        hash_encoded(&(counted, lost), hasher);
+        hash_encoded(&(consumed, lost), hasher);
     }
 
     fn successors(&self) -> Vec<(String, EscrowWorld)> {
         let mut next = self.deliveries();
-        for place in 0..self.shards.len() {
-            next.extend(self.shard_steps(place));
+        for index in 0..self.shards.len() {
+            next.extend(self.shard_steps(index));
         }
         next.extend(self.operator_steps());
         next
@@ -452,11 +466,11 @@
         let mut violations = budgets
             .iter()
             .filter_map(|budget| self.budget_violation(budget));
-        self.broken.or_else(|| violations.next())
+        self.ledger_violation.or_else(|| violations.next())
     }
 }
 
-/// Where the branch with its own budget stands.
+/// Path of the branch with its own budget.
 fn branch_path(is_moved: bool) -> BranchPath {
     let path = if is_moved { "there" } else { "here" };
     path.parse().unwrap_or_else(|_| BranchPath::root())
--- a/crates/courseshed-control/src/model/settings_lease/controllers.rs
+++ b/crates/courseshed-control/src/model/settings_lease/controllers.rs
@@ -1,5 +1,5 @@
-//! The two controllers, and the log between them, taken for granted: a proposal is committed in order by the
-//! controller that the log follows, or lost with it.
+//! Model of the two controllers and their log, which is assumed to be correct: proposals of the elected controller
+//! are committed in order, or lost with it.
 
 use std::time::Duration;
 
@@ -16,7 +16,7 @@
     RequestToken,
 };
 
-/// How long a leader may rely on leading after it last heard a quorum.
+/// Duration of the leader lease after the last contact with a quorum.
 const LOG_LEASE: Duration = Duration::from_secs(2);
 
 pub(super) type Compiler = fn(&str, SettingsVersion) -> Result<PolicySnapshot, Vec<String>>;
@@ -31,20 +31,20 @@
     pub lease_until: Timestamp,
 }
 
-/// An answer to a request.
+/// A reply to a request.
 #[derive(Debug, Clone)]
-pub(super) struct Answer {
+pub(super) struct ControllerReply {
     pub token: RequestToken,
     pub reply: ControlReply,
 }
 
-/// Both controllers and what is committed.
+/// Both controllers and the committed state.
 #[derive(Debug, Clone)]
 pub(super) struct Controllers {
     pub all: [ModelController; 2],
-    /// The one that the log follows.
-    pub followed: usize,
-    /// Whether it reaches a quorum.
+    /// Index of the elected controller.
+    pub elected: usize,
+    /// Whether the elected controller reaches a quorum.
     pub has_quorum: bool,
     pub log: Vec<Vec<u8>>,
     pub committed: ControlState,
@@ -55,7 +55,7 @@
     pub fn new(now: Timestamp, lease: Duration, down_after: Duration) -> Controllers {
         let mut controllers = Controllers {
             all: [1, 2].map(|node| ModelController::new(NodeId(node), now, lease, down_after)),
-            followed: 0,
+            elected: 0,
             has_quorum: true,
             log: Vec::new(),
             committed: ControlState::default(),
@@ -65,10 +65,10 @@
         controllers
     }
 
-    fn lead(&mut self, now: Timestamp, place: usize) {
-        self.followed = place;
+    fn lead(&mut self, now: Timestamp, controller_index: usize) {
+        self.elected = controller_index;
         self.has_quorum = true;
-        let controller = &mut self.all[place];
+        let controller = &mut self.all[controller_index];
         controller.state = self.committed.clone();
         controller.lease_until = now + LOG_LEASE;
         let state = controller.state.clone();
@@ -77,87 +77,100 @@
             .on_role_change(now, LeaderRole::Leading, &state);
     }
 
-    /// Time has passed.
+    /// Advances the controllers to `now`.
     pub fn tick(&mut self, now: Timestamp) {
         if self.has_quorum {
-            self.all[self.followed].lease_until = now + LOG_LEASE;
+            self.all[self.elected].lease_until = now + LOG_LEASE;
         }
-        for place in 0..self.all.len() {
-            let controller = &mut self.all[place];
+        for controller_index in 0..self.all.len() {
+            let controller = &mut self.all[controller_index];
             let outputs = controller.leader.tick(now, &controller.state.clone());
-            self.execute(now, place, outputs);
+            self.execute(now, controller_index, outputs);
         }
     }
 
-    /// The leader is cut off from the others.
+    /// Partitions the leader from its quorum.
     pub fn lose_quorum(&mut self) {
         self.has_quorum = false;
     }
 
-    /// The other controller is elected, once the lease of the one before has run out.
+    /// Elects the other controller once the previous leader's lease has expired; returns whether it was elected.
     pub fn elect(&mut self, now: Timestamp) -> bool {
-        let has_lease = now < self.all[self.followed].lease_until;
+        let has_lease = now < self.all[self.elected].lease_until;
         if self.has_quorum || (has_lease && self.defect != Defect::LeaderLeaseIgnored) {
             return false;
         }
-        self.lead(now, 1 - self.followed);
+        self.lead(now, 1 - self.elected);
         true
     }
 
     pub fn request(
         &mut self,
         now: Timestamp,
-        place: usize,
+        controller_index: usize,
         token: RequestToken,
         request: ControlRequest,
-    ) -> Vec<Answer> {
-        let controller = &mut self.all[place];
+    ) -> Vec<ControllerReply> {
+        let controller = &mut self.all[controller_index];
         controller.leader.extend_read_lease(controller.lease_until);
         let state = controller.state.clone();
         let outputs = controller.leader.on_request(now, token, request, &state);
-        self.execute(now, place, outputs)
+        self.execute(now, controller_index, outputs)
     }
 
-    /// A quorum has the oldest proposal of the controller that the log follows.
-    pub fn commit(&mut self, now: Timestamp) -> Option<Vec<Answer>> {
-        let place = self.followed;
-        if !self.has_quorum || self.all[place].proposals.is_empty() {
+    /// Commits the oldest proposal of the elected controller.
+    pub fn commit(&mut self, now: Timestamp) -> Option<Vec<ControllerReply>> {
+        let controller_index = self.elected;
+        if !self.has_quorum || self.all[controller_index].proposals.is_empty() {
             return None;
         }
-        let command = self.all[place].proposals.remove(0);
+        let command = self.all[controller_index].proposals.remove(0);
         let bytes = command.encode().ok()?;
         self.log.push(bytes.clone());
         let index = self.log.len() as u64;
         self.committed.apply(index, &bytes);
-        Some(self.apply(now, place, index, &bytes))
+        Some(self.apply(now, controller_index, index, &bytes))
     }
 
-    fn apply(&mut self, now: Timestamp, place: usize, index: u64, bytes: &[u8]) -> Vec<Answer> {
-        let controller = &mut self.all[place];
+    fn apply(
+        &mut self,
+        now: Timestamp,
+        controller_index: usize,
+        index: u64,
+        bytes: &[u8],
+    ) -> Vec<ControllerReply> {
+        let controller = &mut self.all[controller_index];
         let applied = controller.state.apply(index, bytes);
         let state = controller.state.clone();
         let outputs = controller.leader.on_applied(now, &applied, &state);
-        self.execute(now, place, outputs)
+        self.execute(now, controller_index, outputs)
     }
 
-    fn execute(&mut self, now: Timestamp, place: usize, outputs: Vec<LeaderOutput>) -> Vec<Answer> {
-        let mut answers = Vec::new();
+    fn execute(
+        &mut self,
+        now: Timestamp,
+        controller_index: usize,
+        outputs: Vec<LeaderOutput>,
+    ) -> Vec<ControllerReply> {
+        let mut replies = Vec::new();
         for output in outputs {
             match output {
-                LeaderOutput::Reply { token, reply } => answers.push(Answer {
+                LeaderOutput::Reply { token, reply } => replies.push(ControllerReply {
                     token,
                     reply: *reply,
                 }),
                 LeaderOutput::Propose(command) if self.defect == Defect::AcceptedWithoutQuorum => {
                     let bytes = command.encode().unwrap_or_default();
-                    let index = self.all[place].state.applied_index() + 1;
-                    self.all[place].proposals.push(command);
-                    answers.extend(self.apply(now, place, index, &bytes));
+                    let index = self.all[controller_index].state.applied_index() + 1;
+                    self.all[controller_index].proposals.push(command);
+                    replies.extend(self.apply(now, controller_index, index, &bytes));
+                }
+                LeaderOutput::Propose(command) => {
+                    self.all[controller_index].proposals.push(command)
                 }
-                LeaderOutput::Propose(command) => self.all[place].proposals.push(command),
             }
         }
-        answers
+        replies
     }
 }
 
--- a/crates/courseshed-control/src/model/settings_lease/mod.rs
+++ b/crates/courseshed-control/src/model/settings_lease/mod.rs
@@ -1,14 +1,16 @@
-//! The specification of settings: accepted versions, leases on them, and what operators are told.
+//! Specification of settings: accepted versions, settings leases and replies to operators.
 //!
-//! The real views of nodes talk to the real logic of two controllers, of which one leads at a time. Messages are
-//! delivered in any order, late or never; a leader may lose its quorum and be followed by the other, a node may
-//! restart from what it saved long ago, operators race and send changes again. Time goes on in whole seconds.
+//! The production node views communicate with the production logic of two controllers, one of which leads at a time.
+//! Messages may be delayed, reordered or lost; a leader may lose its quorum and be replaced by the other controller; a
+//! node may restart from outdated saved state; operators submit concurrent changes and resend them. Time advances in
+//! whole seconds.
 //!
-//! Promises checked in every state:
-//! - a node acts on no version that was superseded longer ago than a lease lasts;
-//! - no start of a node acts on a version older than it, or an earlier start, has acted on;
-//! - a change told to be accepted is committed as that version, and one told to be refused never is;
-//! - after `wait` has said that a version is in force everywhere, no node acts on an older one.
+//! Invariants checked in every state:
+//! - a node uses no version that was superseded longer ago than the duration of a lease;
+//! - a node never uses a version older than one it used before, even across restarts;
+//! - a change reported as accepted is committed as the reported version, and a change reported as rejected is never
+//!   committed;
+//! - after `wait` has confirmed that a version is in force on all nodes, no node uses an older one.
 
 mod controllers;
 mod node;
@@ -23,10 +25,10 @@
     world::SettingsWorld,
 };
 
-/// More states than any scenario has.
+/// Search limit; larger than the state space of any scenario.
 const STATE_LIMIT: u64 = 60_000;
 
-/// Checks every scenario and every broken variant of it.
+/// Checks every scenario, without and with injected defects.
 pub fn check_all() -> Vec<ModelReport> {
     scenario::all().into_iter().map(check).collect()
 }
@@ -34,7 +36,7 @@
 fn check(scenario: Scenario) -> ModelReport {
     let found = run(&scenario, Defect::None);
     let variants = scenario.defects.iter().map(|defect| BrokenVariant {
-        name: defect.describe().to_owned(),
+        name: defect.description().to_owned(),
         caught: run(&scenario, *defect).counterexample,
     });
     ModelReport {
--- a/crates/courseshed-control/src/model/settings_lease/node.rs
+++ b/crates/courseshed-control/src/model/settings_lease/node.rs
@@ -1,4 +1,4 @@
-//! A node: its real view, what it saved, and what an observer saw it act on.
+//! Model of a node: its production view, its saved state, and the newest version it has used.
 
 use std::time::Duration;
 
@@ -17,11 +17,11 @@
 pub(super) struct ModelNode {
     pub id: NodeId,
     pub view: NodeControlView,
-    /// What it saved at the start of the run.
-    pub old_file: Vec<u8>,
+    /// State saved at the start of the run.
+    pub initial_saved_state: Vec<u8>,
     pub incarnation: u64,
-    /// The newest version it was seen to act on.
-    pub acted_on: Option<SettingsVersion>,
+    /// The newest version that the node has used.
+    pub newest_used: Option<SettingsVersion>,
 }
 
 impl ModelNode {
@@ -29,27 +29,27 @@
         ModelNode {
             id,
             view: view(id, 1, None),
-            old_file: Vec::new(),
+            initial_saved_state: Vec::new(),
             incarnation: 1,
-            acted_on: None,
+            newest_used: None,
         }
     }
 
-    /// Starts again with a file of an earlier start.
-    pub fn restart(&mut self, file: &[u8]) {
+    /// Restarts the node from saved state.
+    pub fn restart(&mut self, saved_state: &[u8]) {
         self.incarnation += 1;
-        self.view = view(self.id, self.incarnation, Some(file));
+        self.view = view(self.id, self.incarnation, Some(saved_state));
     }
 
-    /// The version that the node acts on; none if it starts nothing.
-    pub fn acts_on(&self, now: Timestamp, defect: Defect) -> Option<SettingsVersion> {
-        let starts = self.view.may_start(&BranchPath::root(), now).is_ok();
-        let starts_wrongly = match self.view.lease(now) {
+    /// Returns the version that the node uses, or `None` if it starts no work.
+    pub fn used_version(&self, now: Timestamp, defect: Defect) -> Option<SettingsVersion> {
+        let may_start_work = self.view.may_start(&BranchPath::root(), now).is_ok();
+        let starts_by_defect = match self.view.lease(now) {
             LeaseState::Valid => false,
             LeaseState::Expired => defect == Defect::ExpiredLeaseIgnored,
-            LeaseState::Never => defect == Defect::SavedSettingsServed,
+            LeaseState::Never => defect == Defect::SavedSettingsUsed,
         };
-        (starts || starts_wrongly).then(|| self.view.position().settings)
+        (may_start_work || starts_by_defect).then(|| self.view.position().settings)
     }
 }
 
--- a/crates/courseshed-control/src/model/settings_lease/scenario.rs
+++ b/crates/courseshed-control/src/model/settings_lease/scenario.rs
@@ -1,68 +1,74 @@
-//! What is explored: how long, which faults, and the rules broken on purpose.
+//! Scenarios to explore: duration, faults and injected defects.
 
 use std::time::Duration;
 
-/// How often each thing may happen in one run.
+/// Maximum number of each event in one run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Default)]
 pub(super) struct Bounds {
-    /// Seconds that pass.
+    /// Elapsed seconds.
     pub seconds: u8,
-    /// Changes that operators make, all against the version at the start.
+    /// Changes submitted by operators, all against the initial version.
     pub changes: u8,
-    /// Changes sent a second time.
+    /// Resubmissions of the first change.
     pub resends: u8,
-    /// Questions whether the newest version is in force everywhere.
+    /// Queries whether the newest version is in force on all nodes.
     pub waits: u8,
-    /// Leaders that lose their quorum and are followed by the other controller.
+    /// Leaders that lose their quorum and are replaced by the other controller.
     pub leader_changes: u8,
-    /// Nodes that restart, from what they saved at the start or last.
+    /// Node restarts, from the initial or the last saved state.
     pub restarts: u8,
 }
 
-/// One world to explore.
+/// A configuration to explore.
 #[derive(Debug, Clone)]
 pub(super) struct Scenario {
     pub name: &'static str,
-    /// Nodes besides the controllers; one of them relays for the others.
+    /// Number of nodes besides the controllers; one of them is the relay of the others.
     pub nodes: u32,
-    /// How long nodes may rely on settings, seconds.
+    /// Lease duration in seconds.
     pub lease: u64,
     pub bounds: Bounds,
     pub defects: Vec<Defect>,
 }
 
-/// A rule broken on purpose.
+/// A defect injected to verify that the search detects it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum Defect {
     None,
     ExpiredLeaseIgnored,
-    SavedSettingsServed,
+    SavedSettingsUsed,
     LeaderLeaseIgnored,
-    LeaseFromAnswer,
-    RelayLeaseInFull,
+    LeaseFromReply,
+    RelayGrantsFullLease,
     AcceptedWithoutQuorum,
-    ChangeIdForgotten,
-    WaitForgetsLeases,
+    ChangeIdIgnored,
+    WaitIgnoresLeases,
 }
 
 impl Defect {
-    pub fn describe(self) -> &'static str {
+    pub fn description(self) -> &'static str {
         match self {
-            Defect::None => "nothing",
-            Defect::ExpiredLeaseIgnored => "a node goes on after its lease ran out",
-            Defect::SavedSettingsServed => "a node that starts acts on what it saved",
-            Defect::LeaderLeaseIgnored => "a new leader does not wait for the old one's lease",
-            Defect::LeaseFromAnswer => "a lease counts from the answer instead of the question",
-            Defect::RelayLeaseInFull => "a relay hands on a whole lease instead of what is left",
-            Defect::AcceptedWithoutQuorum => "a change is accepted before a quorum has it",
-            Defect::ChangeIdForgotten => "a change sent again counts as another one",
-            Defect::WaitForgetsLeases => "wait leaves nodes out as soon as they are down",
+            Defect::None => "no defect",
+            Defect::ExpiredLeaseIgnored => "a node starts work after its lease expired",
+            Defect::SavedSettingsUsed => "a starting node uses its saved settings without a lease",
+            Defect::LeaderLeaseIgnored => {
+                "a new leader does not wait for the previous leader's lease to expire"
+            }
+            Defect::LeaseFromReply => "a lease starts at the reply instead of the request",
+            Defect::RelayGrantsFullLease => {
+                "a relay grants a full lease instead of the remainder of its own"
+            }
+            Defect::AcceptedWithoutQuorum => {
+                "a change is accepted before it is committed by a quorum"
+            }
+            Defect::ChangeIdIgnored => "a resent change is treated as a new change",
+            Defect::WaitIgnoresLeases => "wait ignores unexpired leases of nodes that are down",
         }
     }
 }
 
 impl Scenario {
-    /// Silence after which a node is down: beyond the run, unless `wait` is explored.
+    /// Failure timeout of nodes; longer than the run unless `wait` is explored.
     pub fn down_after(&self) -> Duration {
         if self.bounds.waits > 0 {
             Duration::from_secs(1)
@@ -71,7 +77,7 @@
         }
     }
 
-    /// The bounds, for people.
+    /// Describes the bounds for the report.
     pub fn bounds(&self) -> String {
         let Bounds {
             seconds,
@@ -84,7 +90,7 @@
         format!(
             "{} nodes, 2 controllers, leases of {} s, {seconds} s, {changes} changes, {resends} resends, {waits} \
              waits, {leader_changes} leader changes, {restarts} restarts; any delay and order of at most two messages \
-             of a node",
+             per node",
             self.nodes, self.lease,
         )
     }
@@ -103,7 +109,7 @@
 
 fn new_leader() -> Scenario {
     Scenario {
-        name: "a leader cut off and followed by another",
+        name: "a partitioned leader replaced by another",
         nodes: 1,
         lease: 2,
         bounds: Bounds {
@@ -115,14 +121,14 @@
         defects: vec![
             Defect::ExpiredLeaseIgnored,
             Defect::LeaderLeaseIgnored,
-            Defect::LeaseFromAnswer,
+            Defect::LeaseFromReply,
         ],
     }
 }
 
 fn restarted_node() -> Scenario {
     Scenario {
-        name: "a node that restarts from an old file",
+        name: "a node that restarts from outdated saved state",
         nodes: 1,
         lease: 2,
         bounds: Bounds {
@@ -131,7 +137,7 @@
             restarts: 1,
             ..Bounds::default()
         },
-        defects: vec![Defect::SavedSettingsServed],
+        defects: vec![Defect::SavedSettingsUsed],
     }
 }
 
@@ -145,13 +151,13 @@
             changes: 1,
             ..Bounds::default()
         },
-        defects: vec![Defect::RelayLeaseInFull],
+        defects: vec![Defect::RelayGrantsFullLease],
     }
 }
 
 fn racing_operators() -> Scenario {
     Scenario {
-        name: "operators who race and send again",
+        name: "operators who submit concurrently and resend",
         nodes: 0,
         lease: 2,
         bounds: Bounds {
@@ -161,13 +167,13 @@
             seconds: 2,
             ..Bounds::default()
         },
-        defects: vec![Defect::AcceptedWithoutQuorum, Defect::ChangeIdForgotten],
+        defects: vec![Defect::AcceptedWithoutQuorum, Defect::ChangeIdIgnored],
     }
 }
 
 fn waiting_operator() -> Scenario {
     Scenario {
-        name: "an operator who waits for a node that is cut off",
+        name: "an operator who waits for a partitioned node",
         nodes: 1,
         lease: 3,
         bounds: Bounds {
@@ -176,6 +182,6 @@
             waits: 1,
             ..Bounds::default()
         },
-        defects: vec![Defect::WaitForgetsLeases],
+        defects: vec![Defect::WaitIgnoresLeases],
     }
 }
--- a/crates/courseshed-control/src/model/settings_lease/world.rs
+++ b/crates/courseshed-control/src/model/settings_lease/world.rs
@@ -1,4 +1,4 @@
-//! The world: controllers, nodes, what is under way between them, operators and an observer.
+//! Model state: controllers, nodes, messages in transit, operators, and the history used by the invariants.
 
 use std::{collections::BTreeMap, hash::Hasher, sync::Arc, time::Duration};
 
@@ -10,7 +10,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 use super::{
-    controllers::{Answer, Controllers},
+    controllers::{ControllerReply, Controllers},
     node::ModelNode,
     scenario::{Bounds, Defect, Scenario},
 };
@@ -18,18 +18,18 @@
 
 const START: Timestamp = Timestamp::from_millis(100_000);
 const SECOND: Duration = Duration::from_secs(1);
-/// Nodes have ids from here on; below are the controllers.
+/// Id of the first node; controllers have lower ids.
 const FIRST_NODE: u32 = 11;
-/// Steps until the fleet is up and quiet.
+/// Seconds until all nodes are registered and have the initial settings.
 const WARM_UP: u32 = 8;
-/// Messages of a node under way at once; an older one is lost.
+/// Maximum number of messages in transit per node; older ones are dropped.
 const MESSAGES_OF_NODE: usize = 2;
-/// Tokens of operators' requests; those of nodes are below.
+/// Lower bound of operators' request tokens; tokens of nodes are lower.
 const OPERATOR_TOKENS: u64 = 1 << 32;
 
-/// A message under way.
+/// A message in transit.
 #[derive(Debug, Clone, PartialEq)]
-enum Wire {
+enum Message {
     Request {
         from: NodeId,
         to: NodeId,
@@ -45,32 +45,32 @@
     },
 }
 
-impl Wire {
-    /// The node that asked.
+impl Message {
+    /// The node that sent the request.
     fn node(&self) -> NodeId {
         match self {
-            Wire::Request { from, .. } => *from,
-            Wire::Reply { to, .. } => *to,
+            Message::Request { from, .. } => *from,
+            Message::Reply { to, .. } => *to,
         }
     }
 }
 
-/// Who waits for an answer of a controller.
+/// A node waiting for a reply of a controller.
 #[derive(Debug, Clone)]
-struct Asker {
+struct PendingRequest {
     node: NodeId,
     number: u64,
     sent_at: Timestamp,
 }
 
-/// What an operator was told of a change.
+/// Result of a change as reported to an operator.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-enum Told {
+enum OperatorResult {
     Accepted(ChangeId, SettingsVersion),
     Refused(ChangeId),
 }
 
-/// One state.
+/// A state of the model.
 #[derive(Debug, Clone)]
 pub(super) struct SettingsWorld {
     scenario: Arc<Scenario>,
@@ -78,16 +78,16 @@
     now: Timestamp,
     controllers: Controllers,
     nodes: Vec<ModelNode>,
-    network: Vec<Wire>,
-    askers: BTreeMap<RequestToken, Asker>,
-    changes_asked: BTreeMap<RequestToken, ChangeId>,
+    network: Vec<Message>,
+    pending_requests: BTreeMap<RequestToken, PendingRequest>,
+    pending_changes: BTreeMap<RequestToken, ChangeId>,
     next_token: u64,
-    left: Bounds,
+    remaining: Bounds,
     accepted: BTreeMap<SettingsVersion, Timestamp>,
-    told: Vec<Told>,
-    /// The newest version that an operator was told to be in force everywhere.
-    everywhere: SettingsVersion,
-    broken: Option<&'static str>,
+    operator_results: Vec<OperatorResult>,
+    /// The newest version confirmed to an operator as in force on all nodes.
+    confirmed_version: SettingsVersion,
+    usage_violation: Option<&'static str>,
 }
 
 impl SettingsWorld {
@@ -95,7 +95,7 @@
         let nodes = (0..scenario.nodes).map(|node| ModelNode::new(NodeId(FIRST_NODE + node)));
         let mut world = SettingsWorld {
             nodes: nodes.collect(),
-            left: scenario.bounds,
+            remaining: scenario.bounds,
             scenario: Arc::new(scenario.clone()),
             defect: Defect::None,
             now: START,
@@ -105,13 +105,13 @@
                 scenario.down_after(),
             ),
             network: Vec::new(),
-            askers: BTreeMap::new(),
-            changes_asked: BTreeMap::new(),
+            pending_requests: BTreeMap::new(),
+            pending_changes: BTreeMap::new(),
             next_token: 0,
             accepted: BTreeMap::new(),
-            told: Vec::new(),
-            everywhere: SettingsVersion(0),
-            broken: None,
+            operator_results: Vec::new(),
+            confirmed_version: SettingsVersion(0),
+            usage_violation: None,
         };
         world.warm_up();
         world.defect = defect;
@@ -119,16 +119,16 @@
         world
     }
 
-    /// Registers the nodes, accepts a first version and lets it reach all, in the obvious order.
+    /// Registers the nodes and distributes the first settings version, without faults.
     fn warm_up(&mut self) {
         self.submit(0);
         for _ in 0..WARM_UP {
-            self.pass_second();
+            self.advance_second();
             self.settle();
         }
-        self.told.clear();
+        self.operator_results.clear();
         for node in &mut self.nodes {
-            node.old_file = node.view.to_save();
+            node.initial_saved_state = node.view.to_save();
         }
     }
 
@@ -142,16 +142,16 @@
         }
     }
 
-    fn pass_second(&mut self) {
+    fn advance_second(&mut self) {
         self.now += SECOND;
         self.controllers.tick(self.now);
-        for place in 0..self.nodes.len() {
-            let outputs = self.nodes[place].view.tick(self.now);
-            self.send_all(place, outputs);
+        for index in 0..self.nodes.len() {
+            let outputs = self.nodes[index].view.tick(self.now);
+            self.send_all(index, outputs);
         }
     }
 
-    fn send_all(&mut self, place: usize, outputs: Vec<ViewOutput>) {
+    fn send_all(&mut self, index: usize, outputs: Vec<ViewOutput>) {
         for output in outputs {
             if let ViewOutput::Send {
                 number,
@@ -159,8 +159,8 @@
                 request,
             } = output
             {
-                self.send(Wire::Request {
-                    from: self.nodes[place].id,
+                self.send(Message::Request {
+                    from: self.nodes[index].id,
                     to: target.node,
                     number,
                     sent_at: self.now,
@@ -170,10 +170,10 @@
         }
     }
 
-    fn send(&mut self, message: Wire) {
+    fn send(&mut self, message: Message) {
         let node = message.node();
         self.network.push(message);
-        let of_node = |message: &Wire| message.node() == node;
+        let of_node = |message: &Message| message.node() == node;
         if self
             .network
             .iter()
@@ -186,23 +186,23 @@
         }
     }
 
-    fn deliver(&mut self, place: usize) {
-        match self.network.remove(place) {
-            Wire::Request {
+    fn deliver(&mut self, index: usize) {
+        match self.network.remove(index) {
+            Message::Request {
                 from,
                 to,
                 number,
                 sent_at,
                 request,
             } => {
-                let asker = Asker {
+                let pending_request = PendingRequest {
                     node: from,
                     number,
                     sent_at,
                 };
-                self.on_request(asker, to, request);
+                self.on_request(pending_request, to, request);
             }
-            Wire::Reply {
+            Message::Reply {
                 to,
                 number,
                 sent_at,
@@ -211,34 +211,34 @@
         }
     }
 
-    fn on_request(&mut self, asker: Asker, to: NodeId, request: ControlRequest) {
+    fn on_request(&mut self, pending_request: PendingRequest, to: NodeId, request: ControlRequest) {
         let controller = self
             .controllers
             .all
             .iter()
             .position(|controller| controller.node == to);
-        if let Some(place) = controller {
+        if let Some(index) = controller {
             self.next_token += 1;
             let token = RequestToken(self.next_token);
-            self.askers.insert(token, asker);
-            let answers = self.controllers.request(self.now, place, token, request);
-            self.send_answers(answers);
+            self.pending_requests.insert(token, pending_request);
+            let replies = self.controllers.request(self.now, index, token, request);
+            self.send_replies(replies);
             return;
         }
         let relay = self.nodes.iter_mut().find(|node| node.id == to);
         let reply = relay.and_then(|relay| relay.view.on_request(self.now, &request));
         if let Some(reply) = reply {
-            let reply = self.relayed(reply);
-            self.send(reply_to(&asker, reply));
+            let reply = self.apply_relay_defect(reply);
+            self.send(reply_to(&pending_request, reply));
         }
     }
 
-    fn relayed(&self, reply: ControlReply) -> ControlReply {
+    fn apply_relay_defect(&self, reply: ControlReply) -> ControlReply {
         match reply {
             ControlReply::Heard {
                 position,
                 settings_lease,
-            } if self.defect == Defect::RelayLeaseInFull && !settings_lease.is_zero() => {
+            } if self.defect == Defect::RelayGrantsFullLease && !settings_lease.is_zero() => {
                 ControlReply::Heard {
                     position,
                     settings_lease: self.lease(),
@@ -250,50 +250,52 @@
 
     fn on_reply(&mut self, to: NodeId, number: u64, sent_at: Timestamp, mut reply: ControlReply) {
         if let ControlReply::Heard { settings_lease, .. } = &mut reply
-            && self.defect == Defect::LeaseFromAnswer
+            && self.defect == Defect::LeaseFromReply
             && !settings_lease.is_zero()
         {
             *settings_lease += self.now.since(sent_at);
         }
-        let Some(place) = self.nodes.iter().position(|node| node.id == to) else {
+        let Some(index) = self.nodes.iter().position(|node| node.id == to) else {
             return;
         };
-        let outputs = self.nodes[place].view.on_reply(self.now, number, reply);
-        self.send_all(place, outputs);
+        let outputs = self.nodes[index].view.on_reply(self.now, number, reply);
+        self.send_all(index, outputs);
     }
 
-    fn send_answers(&mut self, answers: Vec<Answer>) {
-        for answer in answers {
-            if let Some(asker) = self.askers.remove(&answer.token) {
-                self.send(reply_to(&asker, answer.reply));
-            } else if let Some(change) = self.changes_asked.remove(&answer.token) {
-                self.tell(change, &answer.reply);
+    fn send_replies(&mut self, replies: Vec<ControllerReply>) {
+        for reply in replies {
+            if let Some(pending_request) = self.pending_requests.remove(&reply.token) {
+                self.send(reply_to(&pending_request, reply.reply));
+            } else if let Some(change) = self.pending_changes.remove(&reply.token) {
+                self.record_result(change, &reply.reply);
             }
         }
     }
 
-    /// An operator hears what came of a change.
-    fn tell(&mut self, change: ChangeId, reply: &ControlReply) {
-        let told = match reply {
-            ControlReply::Settings(record) => Told::Accepted(change, record.version),
-            ControlReply::Error(error) if error.verdict == Verdict::NotRun => Told::Refused(change),
+    /// Records the result of a change that is reported to an operator.
+    fn record_result(&mut self, change: ChangeId, reply: &ControlReply) {
+        let result = match reply {
+            ControlReply::Settings(record) => OperatorResult::Accepted(change, record.version),
+            ControlReply::Error(error) if error.verdict == Verdict::NotRun => {
+                OperatorResult::Refused(change)
+            }
             _ => return,
         };
-        if !self.told.contains(&told) {
-            self.told.push(told);
-            self.told.sort();
+        if !self.operator_results.contains(&result) {
+            self.operator_results.push(result);
+            self.operator_results.sort();
         }
     }
 
     fn submit(&mut self, number: u8) {
         let expected = u64::from(number > 0);
-        let is_copy = self.defect == Defect::ChangeIdForgotten;
+        let uses_new_id = self.defect == Defect::ChangeIdIgnored;
         self.next_token += 1;
         let name = format!("change-{number}");
         let unique = format!("{name}-{}", self.next_token);
         let change = SettingsChange {
             expected_version: SettingsVersion(expected),
-            change_id: if is_copy {
+            change_id: if uses_new_id {
                 unique.into()
             } else {
                 name.as_str().into()
@@ -302,36 +304,36 @@
             author: String::new(),
         };
         let token = RequestToken(OPERATOR_TOKENS + self.next_token);
-        self.changes_asked.insert(token, name.into());
-        let place = self.controllers.followed;
+        self.pending_changes.insert(token, name.into());
+        let index = self.controllers.elected;
         let request = ControlRequest::ApplySettings(change);
-        let answers = self.controllers.request(self.now, place, token, request);
-        self.send_answers(answers);
+        let replies = self.controllers.request(self.now, index, token, request);
+        self.send_replies(replies);
     }
 
     fn commit(&mut self) -> bool {
-        let Some(answers) = self.controllers.commit(self.now) else {
+        let Some(replies) = self.controllers.commit(self.now) else {
             return false;
         };
         let version = self.controllers.committed.position().settings;
         self.accepted.entry(version).or_insert(self.now);
-        self.send_answers(answers);
+        self.send_replies(replies);
         true
     }
 
-    /// An operator asks the leader whether the newest version is in force everywhere.
+    /// Queries the leader whether the newest version is in force on all nodes.
     fn wait(&mut self) {
-        let place = self.controllers.followed;
-        let version = self.controllers.all[place].state.position().settings;
+        let index = self.controllers.elected;
+        let version = self.controllers.all[index].state.position().settings;
         let token = RequestToken(OPERATOR_TOKENS);
         let request = ControlRequest::Lagging(version);
-        for answer in self.controllers.request(self.now, place, token, request) {
-            if let ControlReply::Lagging(nodes) = answer.reply {
+        for reply in self.controllers.request(self.now, index, token, request) {
+            if let ControlReply::Lagging(nodes) = reply.reply {
                 let map = self.controllers.committed.map();
                 let is_down = |node: &NodeId| map.members[node].state == NodeState::Down;
-                let forgets = self.defect == Defect::WaitForgetsLeases;
-                if nodes.iter().all(|node| forgets && is_down(node)) {
-                    self.everywhere = self.everywhere.max(version);
+                let ignores_leases = self.defect == Defect::WaitIgnoresLeases;
+                if nodes.iter().all(|node| ignores_leases && is_down(node)) {
+                    self.confirmed_version = self.confirmed_version.max(version);
                 }
             }
         }
@@ -341,44 +343,46 @@
         Duration::from_secs(self.scenario.lease)
     }
 
-    /// The observer looks at what every node acts on.
+    /// Checks the version used by every node against the history.
     fn observe(&mut self) {
         let lease = self.lease();
         for node in &mut self.nodes {
-            let Some(version) = node.acts_on(self.now, self.defect) else {
+            let Some(version) = node.used_version(self.now, self.defect) else {
                 continue;
             };
-            if node.acted_on.is_some_and(|before| version < before) {
-                self.broken = Some("no start of a node acts on an older version than before");
+            if node.newest_used.is_some_and(|before| version < before) {
+                self.usage_violation = Some("a node never uses an older version than before");
             }
-            if version < self.everywhere {
-                self.broken = Some("wait is true: no node acts on an older version afterwards");
+            if version < self.confirmed_version {
+                self.usage_violation =
+                    Some("no node uses an older version than one confirmed by wait");
             }
             let next = SettingsVersion(version.0 + 1);
             let superseded = self.accepted.range(next..).next();
             if superseded.is_some_and(|(_, at)| self.now >= *at + lease) {
-                self.broken = Some("no node acts on a version superseded a lease ago");
+                self.usage_violation =
+                    Some("no node uses a version superseded a lease duration ago");
             }
-            node.acted_on = node.acted_on.max(Some(version));
+            node.newest_used = node.newest_used.max(Some(version));
         }
     }
 
-    fn told_violation(&self) -> Option<&'static str> {
+    fn operator_result_violation(&self) -> Option<&'static str> {
         let committed = self.controllers.committed.settings();
         let record_of = |change: &ChangeId| {
             let mut records = committed.latest(usize::MAX);
             records.find(|record| *record.tree == *change.as_str())
         };
-        for told in &self.told {
-            match told {
-                Told::Accepted(change, version) => {
+        for result in &self.operator_results {
+            match result {
+                OperatorResult::Accepted(change, version) => {
                     if record_of(change).map(|record| record.version) != Some(*version) {
-                        return Some("a change told to be accepted is committed as told");
+                        return Some("a change reported as accepted is committed as reported");
                     }
                 }
-                Told::Refused(change) => {
+                OperatorResult::Refused(change) => {
                     if record_of(change).is_some() {
-                        return Some("a change told to be refused is never committed");
+                        return Some("a change reported as rejected is never committed");
                     }
                 }
             }
@@ -395,62 +399,62 @@
                 next.push((name, world));
             }
         };
-        for (place, message) in self.network.iter().enumerate() {
+        for (index, message) in self.network.iter().enumerate() {
             step(format!("deliver {message:?}"), &|world| {
-                world.deliver(place);
+                world.deliver(index);
                 true
             });
         }
-        step("a second passes".to_owned(), &|world| {
-            spend(&mut world.left.seconds) && {
-                world.pass_second();
+        step("advance time by a second".to_owned(), &|world| {
+            spend(&mut world.remaining.seconds) && {
+                world.advance_second();
                 true
             }
         });
-        step("a quorum has the next proposal".to_owned(), &|world| {
+        step("commit the next proposal".to_owned(), &|world| {
             world.commit()
         });
-        step("an operator submits the next change".to_owned(), &|world| {
-            let number = world.scenario.bounds.changes - world.left.changes + 1;
-            spend(&mut world.left.changes) && {
+        step("submit the next change".to_owned(), &|world| {
+            let number = world.scenario.bounds.changes - world.remaining.changes + 1;
+            spend(&mut world.remaining.changes) && {
                 world.submit(number);
                 true
             }
         });
-        step(
-            "an operator sends the first change again".to_owned(),
-            &|world| {
-                let is_sent = world.left.changes < world.scenario.bounds.changes;
-                is_sent && spend(&mut world.left.resends) && {
-                    world.submit(1);
-                    true
-                }
-            },
-        );
-        step("an operator waits".to_owned(), &|world| {
-            spend(&mut world.left.waits) && {
-                world.wait();
+        step("resend the first change".to_owned(), &|world| {
+            let is_sent = world.remaining.changes < world.scenario.bounds.changes;
+            is_sent && spend(&mut world.remaining.resends) && {
+                world.submit(1);
                 true
             }
         });
-        step("the leader loses its quorum".to_owned(), &|world| {
-            world.controllers.has_quorum && spend(&mut world.left.leader_changes) && {
-                world.controllers.lose_quorum();
+        step("query lagging nodes".to_owned(), &|world| {
+            spend(&mut world.remaining.waits) && {
+                world.wait();
                 true
             }
         });
-        step("the other controller is elected".to_owned(), &|world| {
+        step(
+            "partition the leader from its quorum".to_owned(),
+            &|world| {
+                world.controllers.has_quorum && spend(&mut world.remaining.leader_changes) && {
+                    world.controllers.lose_quorum();
+                    true
+                }
+            },
+        );
+        step("elect the other controller".to_owned(), &|world| {
             world.controllers.elect(world.now)
         });
-        for place in 0..self.nodes.len() {
-            let files = [
-                self.nodes[place].old_file.clone(),
-                self.nodes[place].view.to_save(),
+        for index in 0..self.nodes.len() {
+            let saved_states = [
+                self.nodes[index].initial_saved_state.clone(),
+                self.nodes[index].view.to_save(),
             ];
-            for file in files {
-                step(format!("node {place} restarts"), &|world| {
-                    spend(&mut world.left.restarts) && {
-                        world.nodes[place].restart(&file);
+            for saved_state in saved_states {
+                step(format!("restart node {index}"), &|world| {
+                    spend(&mut world.remaining.restarts) && {
+                        world.nodes[index].restart(&saved_state);
                         true
                     }
                 });
@@ -461,7 +465,7 @@
 }
 
 impl SettingsWorld {
-    /// Times of proposals and numbers of commands decide nothing here.
+    /// Hashes the controllers; proposal times and command numbers are omitted, because they do not affect behaviour.
     fn hash_controllers(&self, hasher: &mut Xxh3) {
         let controllers = &self.controllers;
         for controller in &controllers.all {
@@ -474,7 +478,7 @@
             hash_debug(&(controller.state.position(), proposals), hasher);
             hash_debug(&controller.lease_until, hasher);
         }
-        hash_debug(&(controllers.followed, controllers.has_quorum), hasher);
+        hash_debug(&(controllers.elected, controllers.has_quorum), hasher);
         let records = controllers.committed.settings().latest(usize::MAX);
         let changes: Vec<_> = records
             .map(|record| (record.version, &record.change_id))
@@ -483,21 +487,21 @@
         hash_debug(&(changes, members), hasher);
     }
 
-    /// Of the number of a request only counts whether its answer is still waited for.
-    fn message_key(&self, message: &Wire) -> String {
+    /// Fingerprint of a message; a request number matters only by whether the request is still pending.
+    fn message_key(&self, message: &Message) -> String {
         let awaits = |node: NodeId, number: u64| {
             let mut nodes = self.nodes.iter();
             nodes.any(|found| found.id == node && found.view.is_pending(number))
         };
         match message {
-            Wire::Request {
+            Message::Request {
                 from,
                 to,
                 number,
                 request,
                 ..
             } => format!("{from} {to} {} {request:?}", awaits(*from, *number)),
-            Wire::Reply {
+            Message::Reply {
                 to, number, reply, ..
             } => format!("{to} {} {reply:?}", awaits(*to, *number)),
         }
@@ -509,7 +513,7 @@
         self.hash_controllers(hasher);
         for node in &self.nodes {
             hash_debug(&node.view.behavioural_state(), hasher);
-            hash_debug(&(node.incarnation, node.acted_on), hasher);
+            hash_debug(&(node.incarnation, node.newest_used), hasher);
         }
         let mut messages: Vec<String> = self
             .network
@@ -518,8 +522,16 @@
             .collect();
         messages.sort();
         hash_debug(&messages, hasher);
-        hash_debug(&(self.now, self.left, &self.told, self.everywhere), hasher);
-        let changes: Vec<&ChangeId> = self.changes_asked.values().collect();
+        hash_debug(
+            &(
+                self.now,
+                self.remaining,
+                &self.operator_results,
+                self.confirmed_version,
+            ),
+            hasher,
+        );
+        let changes: Vec<&ChangeId> = self.pending_changes.values().collect();
         hash_debug(&(&self.accepted, changes), hasher);
     }
 
@@ -528,7 +540,8 @@
     }
 
     fn violation(&self) -> Option<&'static str> {
-        self.broken.or_else(|| self.told_violation())
+        self.usage_violation
+            .or_else(|| self.operator_result_violation())
     }
 }
 
@@ -538,11 +551,11 @@
     spends
 }
 
-fn reply_to(asker: &Asker, reply: ControlReply) -> Wire {
-    Wire::Reply {
-        to: asker.node,
-        number: asker.number,
-        sent_at: asker.sent_at,
+fn reply_to(pending_request: &PendingRequest, reply: ControlReply) -> Message {
+    Message::Reply {
+        to: pending_request.node,
+        number: pending_request.number,
+        sent_at: pending_request.sent_at,
         reply,
     }
 }
--- a/crates/courseshed-control/src/model/tests.rs
+++ b/crates/courseshed-control/src/model/tests.rs
@@ -1,4 +1,4 @@
-//! Every state within the bounds keeps the promises, and every broken variant is caught.
+//! Checks that all invariants hold within the bounds and that every injected defect is detected.
 
 use courseshed_types::model_report::ModelReport;
 
@@ -16,19 +16,22 @@
         }
         for variant in &report.broken_variants {
             let Some(found) = &variant.caught else {
-                panic!("{}: not caught: {}", report.name, variant.name);
+                panic!(
+                    "{}: injected defect not detected: {}",
+                    report.name, variant.name
+                );
             };
-            println!("  caught: {}\n{found}", variant.name);
+            println!("  detected: {}\n{found}", variant.name);
         }
     }
 }
 
 #[test]
-fn settings_never_go_back_and_leases_are_kept() {
+fn settings_lease_invariants_hold() {
     check(settings_lease::check_all());
 }
 
 #[test]
-fn escrow_never_exceeds_what_was_granted() {
+fn escrow_invariants_hold() {
     check(escrow::check_all());
 }
