--- a/crates/courseshed-edge/src/clock.rs
+++ b/crates/courseshed-edge/src/clock.rs
@@ -22,7 +22,7 @@
 
 /// Unix time in milliseconds; zero if the system clock is before 1970.
 #[must_use]
-pub fn time_of_day_ms() -> u64 {
+pub fn unix_time_ms() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH);
     since_epoch.map_or(0, |since| {
         u64::try_from(since.as_millis()).unwrap_or(u64::MAX)
--- a/crates/courseshed-edge/src/controller/bootstrap.rs
+++ b/crates/courseshed-edge/src/controller/bootstrap.rs
@@ -12,7 +12,7 @@
 use tokio::time::sleep;
 
 use super::handle::Shared;
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest, replica_of};
 
 /// The incarnation of all disks at bootstrap.
@@ -51,7 +51,7 @@
             let reply =
                 send_request(shared, addresses, controller, PeerRequest::KnownIncarnation).await;
             if let Some(PeerReply::Incarnation(known)) = reply {
-                return time_of_day_ms().max(known.unwrap_or(0) + 1);
+                return unix_time_ms().max(known.unwrap_or(0) + 1);
             }
         }
         sleep(JOIN_RETRY_DELAY).await;
--- a/crates/courseshed-edge/src/controller/housekeeping.rs
+++ b/crates/courseshed-edge/src/controller/housekeeping.rs
@@ -90,7 +90,7 @@
                 tolerated_region_failures: self.terms.regions,
                 pin_to_home_region: state
                     .routing()
-                    .is_some_and(|routing| routing.table.table.has_home_regions()),
+                    .is_some_and(|routing| routing.table.table.has_region_restrictions()),
             },
         };
         let changes = plan_map(&plan, &caught_up);
--- a/crates/courseshed-edge/src/controller/mod.rs
+++ b/crates/courseshed-edge/src/controller/mod.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use courseshed_consensus::FaultSwitch;
-use courseshed_quota::QuotaTerms;
+use courseshed_quota::QuotaPolicy;
 use courseshed_types::NodeId;
 
 pub use handle::{ControlError, ControllerHandle};
@@ -47,7 +47,7 @@
     /// Failures to tolerate.
     pub losses: LossTerms,
     /// Terms of tenants' request quotas.
-    pub quota: QuotaTerms,
+    pub quota: QuotaPolicy,
     /// Metrics of the process.
     pub metrics: Arc<Metrics>,
     /// Fault injection for writes of the log, for tests.
--- a/crates/courseshed-edge/src/controller/pools.rs
+++ b/crates/courseshed-edge/src/controller/pools.rs
@@ -12,7 +12,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_pool::{CallDemand, CallNote, EngineListing, NameKey, RunningCall};
+use courseshed_pool::{CallDemand, CallEndReport, EngineListing, NameHash, RunningCall};
 use courseshed_registry::{FleetState, Server, ServerState};
 use courseshed_routing::EngineLimits;
 use courseshed_transport::ReplySender;
@@ -23,7 +23,7 @@
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::handle::Shared;
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 use crate::metrics::Metrics;
 use crate::protocol::{FleetProtocol, PeerReply};
 use pool::Pool;
@@ -68,7 +68,7 @@
     }
 
     /// Records that calls of a gateway ended.
-    pub(super) fn record_ended(&self, gateway: NodeId, service: &str, notes: &[CallNote]) {
+    pub(super) fn record_ended(&self, gateway: NodeId, service: &str, notes: &[CallEndReport]) {
         let found = self.by_service.lock().get(service).cloned();
         // A pool that does not exist has no calls.
         if let Some(pool) = found {
@@ -96,7 +96,7 @@
             None => {
                 engine_limits(&state, service)?;
                 let create = || {
-                    let pool = Pool::new(service, time_of_day_ms(), self.metrics.clone());
+                    let pool = Pool::new(service, unix_time_ms(), self.metrics.clone());
                     Arc::new(Mutex::new(pool))
                 };
                 let mut pools = self.by_service.lock();
@@ -162,7 +162,7 @@
 fn listing(server: &Server, limits: &EngineLimits) -> EngineListing {
     EngineListing {
         key: ServerKey::of(&server.id),
-        zone: NameKey(xxh3_64(server.zone.as_bytes())),
+        zone: NameHash(xxh3_64(server.zone.as_bytes())),
         slots: if server.slots == 0 {
             limits.slots
         } else {
--- a/crates/courseshed-edge/src/controller/pools/pool.rs
+++ b/crates/courseshed-edge/src/controller/pools/pool.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use courseshed_pool::{
-    CallDemand, CallEnd, CallNote, Decision, DecisionInputs, PoolScheduler, RunningCall, Ticket,
-    Verdict,
+    CallDemand, CallEnd, CallEndReport, Decision, DecisionInputs, PoolScheduler, RunningCall,
+    Ticket, Verdict,
 };
 use courseshed_registry::FleetState;
 use courseshed_transport::ReplySender;
@@ -111,12 +111,12 @@
         }
         let until = now + REQUEST_HOLD;
         self.pending.insert(ticket, PendingRequest { reply, until });
-        self.scheduler.ask(now, gateway, demand);
+        self.scheduler.request(now, gateway, demand);
         self.deliver_decisions(now);
     }
 
     /// Records that calls of a gateway ended.
-    pub(super) fn record_ended(&mut self, now: Duration, gateway: NodeId, notes: &[CallNote]) {
+    pub(super) fn record_ended(&mut self, now: Duration, gateway: NodeId, notes: &[CallEndReport]) {
         for note in notes {
             let ticket = Ticket {
                 gateway,
@@ -125,13 +125,13 @@
             self.pending.remove(&ticket);
             self.recent.remove(&ticket);
         }
-        self.scheduler.note(now, gateway, notes);
+        self.scheduler.report_ends(now, gateway, notes);
         self.deliver_decisions(now);
     }
 
     /// Replaces the set of calls that a gateway is running on engines.
     pub(super) fn set_running(&mut self, now: Duration, gateway: NodeId, calls: &[RunningCall]) {
-        self.scheduler.set_running(now, gateway, calls);
+        self.scheduler.report_running(now, gateway, calls);
         self.deliver_decisions(now);
     }
 
@@ -203,11 +203,11 @@
             .collect();
         for ticket in unclaimed {
             log::info!(event = "verdict_unclaimed", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number; "a verdict was not claimed by its gateway");
-            let note = CallNote {
+            let note = CallEndReport {
                 number: ticket.number,
-                end: CallEnd::Given,
+                end: CallEnd::Abandoned,
             };
-            self.scheduler.note(now, ticket.gateway, &[note]);
+            self.scheduler.report_ends(now, ticket.gateway, &[note]);
         }
         self.deliver_decisions(now);
     }
@@ -242,7 +242,7 @@
             Verdict::Granted(_) | Verdict::Waiting => return,
         };
         let ticket = decision.ticket;
-        log::info!(event = "call_turned_away", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number, verdict = labels.verdict, retry_after_ms, waited_ms = inputs.waited_ms, waiting = inputs.waiting, slack_percent = inputs.slack_percent, calls = inputs.calls, unread_tokens = inputs.unread_tokens; "the pool scheduler rejected a call");
+        log::info!(event = "call_turned_away", service = self.service.as_str(), gateway:% = ticket.gateway, number = ticket.number, verdict = labels.verdict, retry_after_ms, waited_ms = inputs.waited_ms, waiting = inputs.waiting, slack_percent = inputs.slack_percent, calls = inputs.calls, unread_tokens = inputs.uncached_tokens; "the pool scheduler rejected a call");
     }
 }
 
--- a/crates/courseshed-edge/src/controller/quotas.rs
+++ b/crates/courseshed-edge/src/controller/quotas.rs
@@ -81,7 +81,7 @@
             Some((tenant.name.as_str(), terms.permits(quota)))
         });
         let limited: Vec<(&str, u32)> = limited.collect();
-        let bounds = quotas.owner.bounds_due(now, limited.iter().copied());
+        let bounds = quotas.owner.due_bounds(now, limited.iter().copied());
         for (name, permits) in limited {
             let figures = PermitCounts {
                 permits: u64::from(permits),
--- a/crates/courseshed-edge/src/controller/replica.rs
+++ b/crates/courseshed-edge/src/controller/replica.rs
@@ -10,7 +10,7 @@
     Configuration, DiskLog, FaultSwitch, FaultyLog, GroupError, GroupId, PeerConfig,
     ReplicaAddress, ReplicatedGroup, StorageError,
 };
-use courseshed_quota::QuotaTerms;
+use courseshed_quota::QuotaPolicy;
 use courseshed_registry::FleetState;
 use courseshed_types::NodeId;
 use snafu::{ResultExt, Snafu};
@@ -65,7 +65,7 @@
     pub addresses: PeerAddresses,
     pub server_silence: Duration,
     pub losses: LossTerms,
-    pub quota: QuotaTerms,
+    pub quota: QuotaPolicy,
     pub metrics: Arc<Metrics>,
     pub disk_faults: FaultSwitch,
 }
--- a/crates/courseshed-edge/src/follower.rs
+++ b/crates/courseshed-edge/src/follower.rs
@@ -11,7 +11,7 @@
 use courseshed_registry::{
     EvacuatedZones, FleetUpdate, FollowerRevisions, LatestProof, RoutingProof, ServerList,
 };
-use courseshed_routing::{PartsTaken, TableAssembler, VersionedTable};
+use courseshed_routing::{TableAssembler, TransferProgress, VersionedTable};
 use courseshed_types::NodeId;
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -179,7 +179,7 @@
 
     /// Whether a controller answered recently. If so, state missing here is missing at all gateways.
     #[must_use]
-    pub fn hears_controllers(&self) -> bool {
+    pub fn has_controller_contact(&self) -> bool {
         let answered_at = *self.answered_at.lock();
         answered_at.is_some_and(|at| at.elapsed() < CONTACT_WINDOW)
     }
@@ -375,13 +375,13 @@
 
     /// Adds a part of a routing table to those received, and sets `update.routing` once the table is complete.
     /// Returns the parts received of an incomplete table.
-    fn assemble_table(&self, update: &mut FleetUpdate) -> Option<PartsTaken> {
+    fn assemble_table(&self, update: &mut FleetUpdate) -> Option<TransferProgress> {
         let mut assembler = self.assembler.lock();
         if let Some(part) = update.table_part.take() {
             let held = self.view.borrow().routing.clone();
-            update.routing = assembler.take(held.as_deref(), part).map(Arc::new);
+            update.routing = assembler.add_part(held.as_deref(), part).map(Arc::new);
         }
-        assembler.taken()
+        assembler.progress()
     }
 
     fn apply_update(
--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -10,7 +10,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_quota::QuotaTerms;
+use courseshed_quota::QuotaPolicy;
 use courseshed_routing::{KeyDigest, Route, RoutingTable, Tenant, VersionedTable};
 
 use super::call::Credential;
@@ -32,12 +32,12 @@
 
 /// Settings of a gateway that authenticates tenants.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct TenantTerms {
+pub struct TenantSettings {
     /// Time within which a revoked key is rejected everywhere; `None` if a disconnected gateway may
     /// keep using its last routing table.
     pub revocation: Option<Duration>,
     /// Quota settings.
-    pub quota: QuotaTerms,
+    pub quota: QuotaPolicy,
 }
 
 /// How long keys are accepted without fresh proof that the routing table is current.
@@ -86,7 +86,7 @@
         if route.is_public {
             return Ok(Caller {
                 identity: None,
-                hides_key: true,
+                strips_key: true,
             });
         }
         let Credential::Key(key) = credential else {
@@ -108,7 +108,7 @@
                 tenant: tenant.clone(),
                 key,
             }),
-            hides_key: true,
+            strips_key: true,
         })
     }
 
@@ -156,7 +156,7 @@
     /// The tenant; `None` if the fleet requires no keys.
     pub identity: Option<Identity>,
     /// Whether the key is removed before forwarding.
-    pub hides_key: bool,
+    pub strips_key: bool,
 }
 
 impl Caller {
--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -4,7 +4,7 @@
 //! Invariants: the scheduler's grant is never a server that refused or already received the call;
 //! the last server that received it is retried only if no other is available.
 
-use courseshed_pool::{CallDemand, DecisionInputs, NameKey, ProgramStanding};
+use courseshed_pool::{CallDemand, DecisionInputs, NameHash, ProgramContext};
 use courseshed_types::ServerKey;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
@@ -178,8 +178,8 @@
 
     /// The demand with up-to-date times and the given call number.
     fn refreshed(&self, demand: &CallDemand, number: u64) -> CallDemand {
-        let program = demand.program.map(|standing| ProgramStanding {
-            left_ms: self.program_left_ms(),
+        let program = demand.program.map(|standing| ProgramContext {
+            time_left_ms: self.program_left_ms(),
             ..standing
         });
         CallDemand {
@@ -191,15 +191,15 @@
         }
     }
 
-    fn program_standing(&self) -> Option<ProgramStanding> {
+    fn program_standing(&self) -> Option<ProgramContext> {
         let claim = self.call.program.as_ref()?;
         let name = program_key(self.caller.tenant_name(), &claim.program);
         let most = self.call.most_tokens.filter(|most| *most > 0);
         let turns = claim.token_budget.zip(most);
-        Some(ProgramStanding {
+        Some(ProgramContext {
             program: name_key(&name),
-            left_ms: self.program_left_ms(),
-            turns_budgeted: turns.map(|(budget, most)| budget as f32 / most as f32),
+            time_left_ms: self.program_left_ms(),
+            budgeted_turns: turns.map(|(budget, most)| budget as f32 / most as f32),
         })
     }
 
@@ -211,6 +211,6 @@
     }
 }
 
-fn name_key(name: &str) -> NameKey {
-    NameKey(xxh3_64(name.as_bytes()))
+fn name_key(name: &str) -> NameHash {
+    NameHash(xxh3_64(name.as_bytes()))
 }
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -13,14 +13,14 @@
 use bytes::{Buf, Bytes, BytesMut};
 use courseshed_pool::CallEnd;
 use courseshed_quota::Standing;
-use courseshed_routing::{CallKind, HomeRegions, Route};
+use courseshed_routing::{AllowedRegions, CallKind, Route};
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
 use super::access::Caller;
 use super::assignment::Assignment;
-use super::call::{CallEnvelope, SendTerms};
+use super::call::{ForwardingContext, GatewayRequest};
 use super::call_log::CallLog;
 use super::choice::ChoiceInputs;
 use super::core::{GatewayCore, InFlightGuard};
@@ -71,7 +71,7 @@
         if self.head.status.is_server_error() {
             CallEnd::Failed
         } else {
-            CallEnd::Given
+            CallEnd::Abandoned
         }
     }
 
@@ -80,7 +80,7 @@
         if !self.head.status.is_success() {
             return self.end_of_unstreamed();
         }
-        CallEnd::Whole {
+        CallEnd::Completed {
             generated,
             first_tokens: self.first_tokens,
             first_part_ms: milliseconds(self.first_chunk_after.unwrap_or(took)),
@@ -116,7 +116,7 @@
 
 /// The prompt segments whose caching matters for server selection; empty if the route has no
 /// affinity.
-fn affinity_segments(call: &CallEnvelope, route: &Route) -> Vec<PromptPart> {
+fn affinity_segments(call: &GatewayRequest, route: &Route) -> Vec<PromptPart> {
     if !route.affinity {
         return Vec::new();
     }
@@ -134,7 +134,7 @@
 /// A request and its attempts at servers.
 pub(super) struct Attempts {
     pub core: Rc<GatewayCore>,
-    pub call: CallEnvelope,
+    pub call: GatewayRequest,
     pub route: Arc<Route>,
     pub service: String,
     pub arrived: Instant,
@@ -150,7 +150,7 @@
     pub log: CallLog,
     pub caller: Caller,
     /// The regions in which the request may be served and its turn stored.
-    pub homes: HomeRegions,
+    pub homes: AllowedRegions,
     /// Whether the request is the first of a program.
     pub standing: Standing,
     /// Memory held for the request.
@@ -170,7 +170,7 @@
 impl Attempts {
     pub(super) fn new(
         core: Rc<GatewayCore>,
-        call: CallEnvelope,
+        call: GatewayRequest,
         route: Arc<Route>,
         service: ChosenService,
         times: CallTimes,
@@ -189,7 +189,7 @@
         Self {
             body: call.body.clone(),
             parts: affinity_segments(&call, &route),
-            homes: HomeRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
+            homes: AllowedRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
             standing: Standing::UnderWay,
             memory,
@@ -299,11 +299,11 @@
     }
 
     /// The regions in which the turn may be stored; any if it isn't stored.
-    pub(super) fn storage_regions(&self) -> &HomeRegions {
-        if self.route.keeps_turns {
+    pub(super) fn storage_regions(&self) -> &AllowedRegions {
+        if self.route.stores_turns {
             &self.homes
         } else {
-            &HomeRegions::ANY
+            &AllowedRegions::ANY
         }
     }
 
@@ -325,7 +325,7 @@
             return;
         }
         self.body = Bytes::new();
-        if !self.route.keeps_turns {
+        if !self.route.stores_turns {
             self.call.body = Bytes::new();
         }
         self.memory.set(BufferKind::Request, self.call.body.len());
@@ -447,7 +447,7 @@
         let routing = view.routing.as_ref().ok_or(Refusal::NotStarted)?;
         let proof_age = self.core.follower.proof_age();
         if self.caller.identity.is_some() {
-            self.core.metrics.note_proof_age(proof_age);
+            self.core.metrics.observe_proof_age(proof_age);
         }
         self.core
             .access
@@ -508,12 +508,12 @@
     }
 
     fn write_head(&self, chosen: &SelectedServer, resume_after: Option<u64>) -> BytesMut {
-        let terms = SendTerms {
+        let terms = ForwardingContext {
             time_left: Some(self.time_left()),
             server: chosen.name.clone(),
             resume_after,
             tenant: self.caller.tenant_name().map(str::to_owned),
-            hides_key: self.caller.hides_key,
+            strips_key: self.caller.strips_key,
         };
         let mut request = BytesMut::with_capacity(1024);
         self.core
@@ -579,8 +579,8 @@
 fn end_of_error(error: &UpstreamError) -> CallEnd {
     match error {
         UpstreamError::NotSent { .. } | UpstreamError::Broken { .. } | UpstreamError::Silent => {
-            CallEnd::Broken
+            CallEnd::Disconnected
         }
-        UpstreamError::TimedOut => CallEnd::Given,
+        UpstreamError::TimedOut => CallEnd::Abandoned,
     }
 }
--- a/crates/courseshed-edge/src/gateway/call.rs
+++ b/crates/courseshed-edge/src/gateway/call.rs
@@ -11,7 +11,7 @@
 
 /// The program that a request declares itself part of.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ProgramClaim {
+pub struct ProgramHeaders {
     /// The program ID.
     pub program: String,
     /// Total tokens that the turns of the program may generate; `None` if unlimited.
@@ -33,7 +33,7 @@
 
 /// A decoded client request.
 #[derive(Clone, Debug)]
-pub struct CallEnvelope {
+pub struct GatewayRequest {
     /// Unique request ID.
     pub request_id: String,
     /// HTTP method, as received.
@@ -55,7 +55,7 @@
     /// ID of the last event of this stream that the client has received.
     pub last_event: Option<u64>,
     /// The program that the request belongs to.
-    pub program: Option<ProgramClaim>,
+    pub program: Option<ProgramHeaders>,
     /// Maximum number of tokens to generate.
     pub most_tokens: Option<u32>,
     /// Key for routing related requests to the same server.
@@ -68,7 +68,7 @@
 
 /// Values that the gateway adds to a request that it forwards to a server.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct SendTerms {
+pub struct ForwardingContext {
     /// Time remaining for the server to respond.
     pub time_left: Option<Duration>,
     /// The only server instance that may execute the request.
@@ -78,12 +78,12 @@
     /// The authenticated tenant; `None` if the fleet requires no keys.
     pub tenant: Option<String>,
     /// Whether the client's key is removed before forwarding.
-    pub hides_key: bool,
+    pub strips_key: bool,
 }
 
 /// Metadata in a server's response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct AnswerMarks {
+pub struct ResponseMetadata {
     /// ID of the request that is answered.
     pub request_id: Option<String>,
     /// Whether the server states that it did not execute the request.
@@ -93,7 +93,7 @@
 /// A request that can't be decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 #[snafu(display("{reason}"))]
-pub struct UnreadableCall {
+pub struct InvalidRequest {
     /// The cause, in terms that the client understands.
     pub reason: String,
 }
@@ -103,18 +103,18 @@
     /// Decodes the head of a client request; the body is read separately.
     ///
     /// # Errors
-    /// [`UnreadableCall`] if a mandatory header is malformed.
-    fn read_call(&self, head: &RequestHead) -> Result<CallEnvelope, UnreadableCall>;
+    /// [`InvalidRequest`] if a mandatory header is malformed.
+    fn read_call(&self, head: &RequestHead) -> Result<GatewayRequest, InvalidRequest>;
 
     /// Encodes the request head for a server, including the terminating empty line.
     fn write_head(
         &self,
-        call: &CallEnvelope,
+        call: &GatewayRequest,
         body_bytes: usize,
-        terms: &SendTerms,
+        terms: &ForwardingContext,
         out: &mut BytesMut,
     );
 
     /// Decodes the metadata of a server's response.
-    fn read_answer(&self, head: &ResponseHead) -> AnswerMarks;
+    fn read_answer(&self, head: &ResponseHead) -> ResponseMetadata;
 }
--- a/crates/courseshed-edge/src/gateway/call_log.rs
+++ b/crates/courseshed-edge/src/gateway/call_log.rs
@@ -7,7 +7,7 @@
 use courseshed_routing::Route;
 use tokio::time::Instant;
 
-use super::call::CallEnvelope;
+use super::call::GatewayRequest;
 use super::choice::ChoiceInputs;
 use super::upstream::UpstreamError;
 use crate::metrics::{CallLabels, Metrics};
@@ -49,7 +49,7 @@
 
 impl CallLog {
     pub(super) fn new(
-        call: &CallEnvelope,
+        call: &GatewayRequest,
         route: &Route,
         service: &str,
         version: u64,
@@ -137,7 +137,7 @@
             chosen_by = self.chosen_by,
             scheduler_waited_ms = self.schedule.waited_ms,
             scheduler_waiting = self.schedule.waiting,
-            scheduler_unread_tokens = self.schedule.unread_tokens,
+            scheduler_unread_tokens = self.schedule.uncached_tokens,
             scheduler_calls_there = self.schedule.calls,
             slack_percent = self.schedule.slack_percent,
             last_error = self.last_error.as_str(),
--- a/crates/courseshed-edge/src/gateway/call_tracker.rs
+++ b/crates/courseshed-edge/src/gateway/call_tracker.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use courseshed_pool::{CallEnd, CallNote, RunningCall};
+use courseshed_pool::{CallEnd, CallEndReport, RunningCall};
 use courseshed_types::{NodeId, ServerKey};
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
@@ -43,15 +43,15 @@
     cooldowns: BTreeMap<NodeId, Duration>,
     schedulers: BTreeMap<String, LastScheduler>,
     /// Unsent notes, by controller and service.
-    notes: BTreeMap<(NodeId, String), Vec<CallNote>>,
+    notes: BTreeMap<(NodeId, String), Vec<CallEndReport>>,
 }
 
 impl CallTracker {
     /// Creates the tracker of a gateway that starts at the given wall-clock time in milliseconds.
     #[must_use]
-    pub fn new(time_of_day_ms: u64) -> Self {
+    pub fn new(unix_time_ms: u64) -> Self {
         Self {
-            next_number: time_of_day_ms << NUMBER_BITS_PER_MS,
+            next_number: unix_time_ms << NUMBER_BITS_PER_MS,
             calls: BTreeMap::new(),
             cooldowns: BTreeMap::new(),
             schedulers: BTreeMap::new(),
@@ -158,12 +158,12 @@
         };
         for controller in call.reported_to {
             let notes = self.notes.entry((controller, call.service.clone()));
-            notes.or_default().push(CallNote { number, end });
+            notes.or_default().push(CallEndReport { number, end });
         }
     }
 
     /// Takes the unsent notes, by controller and service.
-    pub fn take_notes(&mut self) -> BTreeMap<(NodeId, String), Vec<CallNote>> {
+    pub fn take_notes(&mut self) -> BTreeMap<(NodeId, String), Vec<CallEndReport>> {
         std::mem::take(&mut self.notes)
     }
 
@@ -190,7 +190,7 @@
             running.push(RunningCall {
                 number: *number,
                 engine,
-                for_ms: u32::try_from(for_ms).unwrap_or(u32::MAX),
+                running_ms: u32::try_from(for_ms).unwrap_or(u32::MAX),
             });
         }
         running
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use courseshed_registry::{Server, ServerAvailability};
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::{Distance, PromptPart, ServerKey};
 
 use super::cost::{CROSS_ZONE_COST_MS, CostInputs, ServiceLatency, expected_cost_ms, would_queue};
@@ -42,7 +42,7 @@
     /// Maximum number of calls of this gateway at one server.
     pub max_in_flight: u32,
     /// The regions in which the call may be served.
-    pub homes: &'a HomeRegions,
+    pub homes: &'a AllowedRegions,
 }
 
 /// The inputs of a server selection, for the access log.
--- a/crates/courseshed-edge/src/gateway/core.rs
+++ b/crates/courseshed-edge/src/gateway/core.rs
@@ -6,14 +6,14 @@
 use std::sync::Arc;
 
 use courseshed_registry::AvoidanceChange;
-use courseshed_routing::{Route, RoutingTable, SplitCounter, Target};
+use courseshed_routing::{Route, RoutingTable, Target, WeightedRoundRobin};
 use courseshed_types::ZoneMap;
 
 use tokio::time::Instant;
 
-use super::access::{AccessPolicy, TenantTerms};
+use super::access::{AccessPolicy, TenantSettings};
 use super::call::CallCodec;
-use super::memory_budget::HeldTerms;
+use super::memory_budget::MemoryLimits;
 use super::memory_tracker::MemoryTracker;
 use super::outcome_change::OutcomeChange;
 use super::policy::Policy;
@@ -57,7 +57,7 @@
 /// Weighted round-robin state of one route; reset when the targets of the route change.
 struct RouteSplit {
     targets: Vec<Target>,
-    counter: SplitCounter,
+    counter: WeightedRoundRobin,
 }
 
 /// The components that [`GatewayCore::new`] assembles.
@@ -71,9 +71,9 @@
     /// The region of each zone.
     pub zones: Arc<ZoneMap>,
     pub policy: Policy,
-    pub tenants: TenantTerms,
+    pub tenants: TenantSettings,
     /// Memory limits for slow clients and servers.
-    pub memory: HeldTerms,
+    pub memory: MemoryLimits,
 }
 
 impl GatewayCore {
@@ -206,7 +206,7 @@
     fn new(targets: &[Target]) -> Self {
         Self {
             targets: targets.to_vec(),
-            counter: SplitCounter::with_phase(targets, rand::random()),
+            counter: WeightedRoundRobin::with_phase(targets, rand::random()),
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/memory_budget.rs
+++ b/crates/courseshed-edge/src/gateway/memory_budget.rs
@@ -29,7 +29,7 @@
 
 /// Memory limits of a gateway.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldTerms {
+pub struct MemoryLimits {
     /// Total bytes held for all clients; above it, clients are disconnected.
     pub total_bytes: usize,
     /// Fixed bytes charged for each connection.
@@ -40,10 +40,10 @@
     /// How long a client may accept no data before it is disconnected.
     pub read_stall: Duration,
     /// The same limit under memory pressure.
-    pub pressed_stall: Duration,
+    pub pressure_stall_limit: Duration,
 }
 
-impl HeldTerms {
+impl MemoryLimits {
     /// Limits for a process with the given memory. Of the memory above the base, an eighth is
     /// reserved for allocator overhead and growth between two polls of the connections, and another
     /// eighth is not available to new bodies.
@@ -56,7 +56,7 @@
             connection_bytes: CONNECTION_BYTES,
             admission_bytes: total_bytes / 8 * 7,
             read_stall: STALL_LIMIT,
-            pressed_stall: PRESSURE_STALL_LIMIT,
+            pressure_stall_limit: PRESSURE_STALL_LIMIT,
         }
     }
 }
@@ -132,7 +132,7 @@
 /// The bytes held for each client connection. Times are those of the process's monotonic clock.
 #[derive(Debug)]
 pub struct MemoryBudget {
-    terms: HeldTerms,
+    terms: MemoryLimits,
     connections: BTreeMap<ConnectionId, ConnectionUsage>,
     next: u64,
     total: usize,
@@ -141,7 +141,7 @@
 impl MemoryBudget {
     /// Creates an empty budget.
     #[must_use]
-    pub fn new(terms: HeldTerms) -> Self {
+    pub fn new(terms: MemoryLimits) -> Self {
         Self {
             terms,
             connections: BTreeMap::new(),
@@ -239,7 +239,7 @@
             return Some(Duration::ZERO);
         }
         let pressure_bytes = self.terms.admission_bytes / PRESSURE_DENOMINATOR * PRESSURE_NUMERATOR;
-        (held_bytes > pressure_bytes).then_some(self.terms.pressed_stall)
+        (held_bytes > pressure_bytes).then_some(self.terms.pressure_stall_limit)
     }
 
     fn largest_stalled(&self, now: Duration, least: Duration) -> Option<Disconnect> {
--- a/crates/courseshed-edge/src/gateway/memory_tracker.rs
+++ b/crates/courseshed-edge/src/gateway/memory_tracker.rs
@@ -13,11 +13,11 @@
 use futures_util::StreamExt;
 use tokio::time::{sleep, timeout};
 
-use super::memory_budget::{BufferKind, ConnectionId, Disconnect, HeldTerms, MemoryBudget};
+use super::memory_budget::{BufferKind, ConnectionId, Disconnect, MemoryBudget, MemoryLimits};
 use super::refusal::Refusal;
 use crate::clock::Clock;
 use crate::http::BodyError;
-use crate::metrics::{CutLabels, Metrics};
+use crate::metrics::{DisconnectLabels, Metrics};
 use crate::watched::Connection;
 
 /// How often connections are polled; short compared with the stall limits.
@@ -46,7 +46,7 @@
 }
 
 impl MemoryTracker {
-    pub(super) fn new(terms: HeldTerms, metrics: Arc<Metrics>) -> Rc<Self> {
+    pub(super) fn new(terms: MemoryLimits, metrics: Arc<Metrics>) -> Rc<Self> {
         let limit = i64::try_from(terms.total_bytes).unwrap_or(i64::MAX);
         metrics.held_limit.set(limit);
         Rc::new(Self {
@@ -116,7 +116,7 @@
         let reason = disconnect.reason.as_str();
         self.metrics
             .callers_cut_off
-            .get_or_create(&CutLabels { reason })
+            .get_or_create(&DisconnectLabels { reason })
             .inc();
         log::info!(event = "caller_cut_off", request = tracked.request.as_str(), reason, held_bytes = disconnect.held_bytes, unread_ms = disconnect.stalled_for.as_millis() as u64; "disconnected a client that does not read its response");
         tracked.connection.cut();
--- a/crates/courseshed-edge/src/gateway/mod.rs
+++ b/crates/courseshed-edge/src/gateway/mod.rs
@@ -33,16 +33,17 @@
 mod stream;
 mod upstream;
 
-pub use access::{AccessPolicy, Caller, Identity, TenantTerms};
+pub use access::{AccessPolicy, Caller, Identity, TenantSettings};
 pub use call::{
-    AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
+    CallCodec, Credential, ForwardingContext, GatewayRequest, InvalidRequest, ProgramHeaders,
+    ResponseMetadata,
 };
 pub use call_tracker::{CallTracker, UNRESPONSIVE_COOLDOWN};
 pub use choice::Demand;
 pub use cost::{CostInputs, LatencyEstimate, ServiceLatency, expected_cost_ms};
 pub use events::{Event, EventSplitter};
 pub use memory_budget::{
-    BufferKind, ConnectionId, Disconnect, DisconnectReason, HeldTerms, MemoryBudget,
+    BufferKind, ConnectionId, Disconnect, DisconnectReason, MemoryBudget, MemoryLimits,
 };
 pub use outcome_change::OutcomeChange;
 pub use policy::{Mechanism, Policy, UnknownMechanism};
--- a/crates/courseshed-edge/src/gateway/plain.rs
+++ b/crates/courseshed-edge/src/gateway/plain.rs
@@ -19,7 +19,7 @@
 use super::refusal::Refusal;
 use super::servers::CallReport;
 use super::upstream::UpstreamError;
-use crate::http::is_of_connection;
+use crate::http::is_hop_by_hop_header;
 
 /// Longest response that is buffered completely, in bytes.
 const MAX_BUFFERED_BYTES: usize = 1024 * 1024;
@@ -40,7 +40,7 @@
             Err(UpstreamError::TimedOut) => return refuse(attempts, Refusal::TimedOut),
             Err(error) => {
                 attempts.record_failure(&opened.server, &error);
-                opened.end_call(CallEnd::Broken);
+                opened.end_call(CallEnd::Disconnected);
                 if !attempts.may_retry() {
                     return refuse(attempts, Refusal::Broken);
                 }
@@ -203,7 +203,7 @@
             return;
         }
         self.attempts.record_failure(server, error);
-        self.opened.end_call(CallEnd::Broken);
+        self.opened.end_call(CallEnd::Disconnected);
     }
 
     /// The next chunk. Reads from the server only after the client's connection accepted the
@@ -227,7 +227,7 @@
     let mut response = Response::new(head.status);
     for (name, value) in head.headers() {
         let is_regenerated = name == header::CONTENT_LENGTH || name == header::DATE;
-        if !is_of_connection(name.as_str()) && !is_regenerated {
+        if !is_hop_by_hop_header(name.as_str()) && !is_regenerated {
             response.headers_mut().append(name.clone(), value.clone());
         }
     }
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -4,12 +4,12 @@
 
 use bytes::{Bytes, BytesMut};
 use courseshed_records::{PartitionId, ReservationDecision, Turn};
-use courseshed_routing::{HomeRegions, Route};
+use courseshed_routing::{AllowedRegions, Route};
 use courseshed_types::CachedPrompt;
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-use super::call::CallEnvelope;
+use super::call::GatewayRequest;
 use super::core::GatewayCore;
 use super::memory_budget::BufferKind;
 use super::memory_tracker::RequestMemory;
@@ -94,7 +94,7 @@
 /// Reserves the tokens of a turn; `None` if its program has no budget.
 pub(super) async fn reserve(
     core: &Rc<GatewayCore>,
-    call: &CallEnvelope,
+    call: &GatewayRequest,
     tenant: Option<&str>,
     route: &Route,
     tokens_per_event: u64,
@@ -162,7 +162,7 @@
 fn refusal_for(unavailable: RecordsUnavailable) -> Refusal {
     match unavailable {
         RecordsUnavailable::NoQuorum => Refusal::NoRecords,
-        RecordsUnavailable::NoRoom => Refusal::NoRoom,
+        RecordsUnavailable::StoresFull => Refusal::StoresFull,
     }
 }
 
@@ -179,9 +179,9 @@
 /// Loads the turns that a request continues, and records which server generated the last one.
 pub(super) async fn compose_body(
     core: &Rc<GatewayCore>,
-    call: &CallEnvelope,
+    call: &GatewayRequest,
     tenant: Option<&str>,
-    homes: &HomeRegions,
+    homes: &AllowedRegions,
     deadline: Instant,
     memory: &RequestMemory,
 ) -> Result<ComposedBody, Refusal> {
@@ -189,7 +189,7 @@
     let program = call.program.as_ref().map_or("", |claim| &claim.program);
     let program = program_key(tenant, program);
     let Some(previous) = &call.previous_turn else {
-        let partition = core.records.home_within(&program, homes);
+        let partition = core.records.partition_for_new_program(&program, homes);
         return Ok(ComposedBody {
             body: call.body.clone(),
             partition: partition.ok_or_else(|| no_partition(call))?,
@@ -240,14 +240,14 @@
 }
 
 /// No partition is allowed to store the turn, so it is not started.
-fn no_partition(call: &CallEnvelope) -> Refusal {
+fn no_partition(call: &GatewayRequest) -> Refusal {
     log::info!(event = "no_home", request = call.request_id.as_str(); "no partition has all its replicas in the allowed regions");
     Refusal::NoRecords
 }
 
 /// Builds the record of a completed turn.
 pub(super) fn build_turn(
-    call: &CallEnvelope,
+    call: &GatewayRequest,
     tenant: Option<&str>,
     output: Bytes,
     cached: Option<CachedPrompt>,
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -9,14 +9,14 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_quota::{QuotaAnswer, QuotaHolder, QuotaTerms, Shortage, Standing};
+use courseshed_quota::{QuotaAnswer, QuotaHolder, QuotaPolicy, Shortage, Standing};
 use courseshed_types::NodeId;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
 
 use super::core::GatewayCore;
 use super::refusal::Refusal;
-use crate::clock::{Clock, time_of_day_ms};
+use crate::clock::{Clock, unix_time_ms};
 use crate::metrics::TenantLabels;
 use crate::peers::Peers;
 use crate::protocol::{PeerAddresses, PeerPort, PeerReply, PeerRequest};
@@ -45,9 +45,9 @@
 }
 
 impl Quotas {
-    pub(super) fn new(terms: QuotaTerms) -> Self {
+    pub(super) fn new(terms: QuotaPolicy) -> Self {
         let clock = Clock::start();
-        let holder = QuotaHolder::new(terms, time_of_day_ms(), clock.now());
+        let holder = QuotaHolder::new(terms, unix_time_ms(), clock.now());
         Self {
             holder: RefCell::new(holder),
             clock,
@@ -100,10 +100,10 @@
         loop {
             match quotas.take(tenant, standing) {
                 Ok(()) => return Ok(Permit::new(core.clone(), tenant)),
-                Err(Shortage::KeptForOthers) => return Err(quotas.over_quota(tenant)),
+                Err(Shortage::ReservedForRunning) => return Err(quotas.over_quota(tenant)),
                 Err(Shortage::Here) => {}
             }
-            if answered >= ANSWERS_BEFORE_REFUSAL && quotas.is_taken_everywhere(tenant) {
+            if answered >= ANSWERS_BEFORE_REFUSAL && quotas.is_exhausted(tenant) {
                 return Err(quotas.over_quota(tenant));
             }
             if Instant::now() >= wait_until {
@@ -125,8 +125,8 @@
         self.holder.borrow_mut().take(now, tenant, standing)
     }
 
-    fn is_taken_everywhere(&self, tenant: &str) -> bool {
-        self.holder.borrow().is_taken_everywhere(tenant)
+    fn is_exhausted(&self, tenant: &str) -> bool {
+        self.holder.borrow().is_exhausted(tenant)
     }
 
     fn over_quota(&self, tenant: &str) -> Refusal {
--- a/crates/courseshed-edge/src/gateway/refusal.rs
+++ b/crates/courseshed-edge/src/gateway/refusal.rs
@@ -49,7 +49,7 @@
     /// No quorum of record stores is reachable.
     NoRecords,
     /// The record stores have no capacity for more programs.
-    NoRoom,
+    StoresFull,
     /// The program's token budget is spent.
     BudgetSpent,
     /// The previous turn was never stored, or has expired.
@@ -105,7 +105,7 @@
             Self::NoMemory => "no_memory",
             Self::Leaving => "leaving",
             Self::NoRecords => "no_records",
-            Self::NoRoom => "no_room",
+            Self::StoresFull => "no_room",
             Self::BudgetSpent => "budget_spent",
             Self::UnknownTurn => "unknown_turn",
             Self::Broken => "broken",
@@ -130,7 +130,7 @@
             | Self::NoMemory
             | Self::Leaving
             | Self::NoRecords
-            | Self::NoRoom
+            | Self::StoresFull
             | Self::TooLate => StatusCode::SERVICE_UNAVAILABLE,
             Self::BudgetSpent => StatusCode::PAYMENT_REQUIRED,
             Self::Broken => StatusCode::BAD_GATEWAY,
@@ -145,7 +145,7 @@
             | Self::NoProof {
                 is_everywhere: true,
             } => Some(RECORDS_RETRY),
-            Self::NoRoom => Some(ROOM_RETRY),
+            Self::StoresFull => Some(ROOM_RETRY),
             Self::NoMemory => Some(MEMORY_RETRY),
             Self::Leaving
             | Self::NoProof {
--- a/crates/courseshed-edge/src/gateway/schedule.rs
+++ b/crates/courseshed-edge/src/gateway/schedule.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use super::call_tracker::CallTracker;
-use crate::clock::{Clock, time_of_day_ms};
+use crate::clock::{Clock, unix_time_ms};
 use crate::follower::FleetFollower;
 use crate::metrics::Metrics;
 use crate::peers::Peers;
@@ -79,7 +79,7 @@
             follower,
             metrics,
             clock: Clock::start(),
-            tracker: RefCell::new(CallTracker::new(time_of_day_ms())),
+            tracker: RefCell::new(CallTracker::new(unix_time_ms())),
             notes_pending: Notify::new(),
             controller_silenced: watch::channel(()).0,
         })
@@ -357,7 +357,7 @@
 impl Drop for ScheduledCall {
     fn drop(&mut self) {
         if !self.has_ended {
-            self.client.end(self.number, CallEnd::Given);
+            self.client.end(self.number, CallEnd::Abandoned);
         }
     }
 }
--- a/crates/courseshed-edge/src/gateway/server.rs
+++ b/crates/courseshed-edge/src/gateway/server.rs
@@ -13,12 +13,12 @@
 use snafu::{ResultExt, Snafu};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::access::{Caller, TenantTerms};
+use super::access::{Caller, TenantSettings};
 use super::attempts::{Attempts, CallTimes, ChosenService};
-use super::call::{CallCodec, CallEnvelope, Credential};
+use super::call::{CallCodec, Credential, GatewayRequest};
 use super::core::{CoreConfig, GatewayCore};
 use super::load::share_load;
-use super::memory_budget::HeldTerms;
+use super::memory_budget::MemoryLimits;
 use super::memory_tracker::{RequestMemory, monitor_connections};
 use super::policy::{Mechanism, Policy};
 use super::quota::exchange_permits;
@@ -64,9 +64,9 @@
     /// The enabled mechanisms.
     pub policy: Policy,
     /// Key revocation and quota settings.
-    pub tenants: TenantTerms,
+    pub tenants: TenantSettings,
     /// Memory limits for slow clients and servers.
-    pub memory: HeldTerms,
+    pub memory: MemoryLimits,
 }
 
 /// Why a gateway failed to start.
@@ -319,7 +319,7 @@
 /// Authenticates a call against the routing table that its route comes from.
 fn authenticate(
     core: &GatewayCore,
-    call: &CallEnvelope,
+    call: &GatewayRequest,
     route: &Route,
     routing: &VersionedTable,
 ) -> Result<Caller, Refusal> {
@@ -329,7 +329,7 @@
         .authenticate(call.credential, route, &routing.table, proof_age);
     let identified = identified.map_err(|refusal| match refusal {
         Refusal::NoProof { .. } => Refusal::NoProof {
-            is_everywhere: core.follower.hears_controllers(),
+            is_everywhere: core.follower.has_controller_contact(),
         },
         other => other,
     });
@@ -354,7 +354,7 @@
     core: &Rc<GatewayCore>,
     mut request: Request,
     limits: &CallLimits,
-) -> Result<(CallEnvelope, RequestMemory), Refusal> {
+) -> Result<(GatewayRequest, RequestMemory), Refusal> {
     let head_bytes: usize = request
         .headers()
         .iter()
--- a/crates/courseshed-edge/src/gateway/servers.rs
+++ b/crates/courseshed-edge/src/gateway/servers.rs
@@ -152,7 +152,7 @@
             .routing
             .iter()
             .flat_map(|routing| &routing.table.services);
-        let cold_limited = services.filter(|service| service.bounds_cold_servers());
+        let cold_limited = services.filter(|service| service.limits_warm_up());
         self.serving = ServingConstraints {
             evacuated: view.evacuated.clone(),
             cold_limited: cold_limited.map(|service| service.name.clone()).collect(),
--- a/crates/courseshed-edge/src/gateway/short_codec.rs
+++ b/crates/courseshed-edge/src/gateway/short_codec.rs
@@ -9,7 +9,8 @@
 use courseshed_types::PromptPart;
 
 use super::call::{
-    AnswerMarks, CallCodec, CallEnvelope, Credential, ProgramClaim, SendTerms, UnreadableCall,
+    CallCodec, Credential, ForwardingContext, GatewayRequest, InvalidRequest, ProgramHeaders,
+    ResponseMetadata,
 };
 
 /// The codec. Request headers: `x-call` (request ID), `x-program`, `x-budget` (token budget),
@@ -20,15 +21,15 @@
 pub struct ShortCodec;
 
 impl CallCodec for ShortCodec {
-    fn read_call(&self, head: &RequestHead) -> Result<CallEnvelope, UnreadableCall> {
+    fn read_call(&self, head: &RequestHead) -> Result<GatewayRequest, InvalidRequest> {
         let headers = head.headers();
         let number = |name| text(headers, name).and_then(|text| text.parse::<u64>().ok());
-        let program = text(headers, "x-program").map(|program| ProgramClaim {
+        let program = text(headers, "x-program").map(|program| ProgramHeaders {
             program,
             token_budget: number("x-budget"),
             time_left: None,
         });
-        Ok(CallEnvelope {
+        Ok(GatewayRequest {
             request_id: text(headers, "x-call").unwrap_or_default(),
             method: head.method.as_str().to_owned(),
             target: head
@@ -54,12 +55,12 @@
 
     fn write_head(
         &self,
-        call: &CallEnvelope,
+        call: &GatewayRequest,
         body_bytes: usize,
-        terms: &SendTerms,
+        terms: &ForwardingContext,
         out: &mut BytesMut,
     ) {
-        let CallEnvelope {
+        let GatewayRequest {
             method,
             target,
             request_id,
@@ -79,8 +80,8 @@
         out.put_slice(b"\r\n");
     }
 
-    fn read_answer(&self, head: &ResponseHead) -> AnswerMarks {
-        AnswerMarks {
+    fn read_answer(&self, head: &ResponseHead) -> ResponseMetadata {
+        ResponseMetadata {
             request_id: text(head.headers(), "x-call"),
             is_not_run: head.headers().contains_key("x-not-run"),
         }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -130,7 +130,7 @@
         Ok(read) => respond(attempts, opened, read),
         Err(UpstreamError::TimedOut) => refuse(attempts, Refusal::TimedOut),
         Err(error) => {
-            opened.end_call(CallEnd::Broken);
+            opened.end_call(CallEnd::Disconnected);
             attempts.record_failure(&opened.server, &error);
             refuse(attempts, Refusal::Broken)
         }
@@ -196,7 +196,7 @@
             };
             if let Some(mut opened) = self.opened.take() {
                 self.attempts.record_failure(&opened.server, &error);
-                opened.end_call(CallEnd::Broken);
+                opened.end_call(CallEnd::Disconnected);
             }
             return self.abort();
         }
@@ -224,7 +224,7 @@
             if let Some(reservation) = &mut self.reservation {
                 reservation.count_event();
             }
-            if self.attempts.route.keeps_turns
+            if self.attempts.route.stores_turns
                 && let Some(data) = &event.data
             {
                 self.output.extend_from_slice(data);
@@ -293,10 +293,10 @@
         if let Some(mut opened) = self.opened.take() {
             if self.is_server_fault() {
                 self.attempts.record_failure(&opened.server, error);
-                opened.end_call(CallEnd::Broken);
+                opened.end_call(CallEnd::Disconnected);
             } else {
                 self.attempts.record_truncated(&opened.server, error);
-                opened.end_call(CallEnd::Given);
+                opened.end_call(CallEnd::Abandoned);
             }
         }
         if !self.attempts.may_retry() {
@@ -340,14 +340,14 @@
             let generated = u32::try_from(generated).unwrap_or(u32::MAX);
             let prompt = self.attempts.record_finished(&mut opened, generated);
             // A stored turn carries the same hint.
-            let is_kept = self.attempts.route.keeps_turns;
+            let is_kept = self.attempts.route.stores_turns;
             if let Some(reservation) = self.reservation.as_mut().filter(|_| !is_kept) {
                 reservation.set_cached(prompt.clone());
             }
             cached = Some(prompt);
             opened.upstream.release();
         }
-        if self.attempts.route.keeps_turns {
+        if self.attempts.route.stores_turns {
             let output = self.output.split().freeze();
             let turn = build_turn(
                 &self.attempts.call,
--- a/crates/courseshed-edge/src/gateway/upstream.rs
+++ b/crates/courseshed-edge/src/gateway/upstream.rs
@@ -191,7 +191,7 @@
         .unwrap_or_else(|_| Err(io::ErrorKind::TimedOut.into()))?;
     sockets::prepare(&stream)?;
     if tolerates_slow_reads {
-        sockets::bear_slow_reader(&stream)?;
+        sockets::tolerate_slow_reader(&stream)?;
     }
     Ok(stream)
 }
--- a/crates/courseshed-edge/src/http.rs
+++ b/crates/courseshed-edge/src/http.rs
@@ -57,7 +57,7 @@
 
 /// Whether a header is hop-by-hop. The name must be in lower case.
 #[must_use]
-pub fn is_of_connection(name: &str) -> bool {
+pub fn is_hop_by_hop_header(name: &str) -> bool {
     HOP_BY_HOP_HEADERS.contains(&name)
 }
 
--- a/crates/courseshed-edge/src/logging.rs
+++ b/crates/courseshed-edge/src/logging.rs
@@ -14,7 +14,7 @@
 use parking_lot::Mutex;
 use serde_json::{Map, json};
 
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 
 /// Capacity of the queue of lines to write.
 const QUEUE_CAPACITY: usize = 4096;
@@ -63,7 +63,7 @@
 
 fn format_line(record: &log::Record<'_>, node: &str, role: &str) -> String {
     let mut line = Map::new();
-    line.insert("at_ms".to_owned(), json!(time_of_day_ms()));
+    line.insert("at_ms".to_owned(), json!(unix_time_ms()));
     line.insert("level".to_owned(), json!(record.level().as_str()));
     line.insert("node".to_owned(), json!(node));
     line.insert("role".to_owned(), json!(role));
@@ -83,7 +83,7 @@
         }
         let dropped_lines = dropped_lines();
         if dropped_lines > reported {
-            let line = json!({"at_ms": time_of_day_ms(), "level": "WARN", "event": "lines_left_out", "count": dropped_lines - reported});
+            let line = json!({"at_ms": unix_time_ms(), "level": "WARN", "event": "lines_left_out", "count": dropped_lines - reported});
             text.push_str(&format!("{line}\n"));
             reported = dropped_lines;
         }
--- a/crates/courseshed-edge/src/metrics.rs
+++ b/crates/courseshed-edge/src/metrics.rs
@@ -73,7 +73,7 @@
 
 /// Labels of aborted client connections.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct CutLabels {
+pub struct DisconnectLabels {
     /// The reason.
     pub reason: &'static str,
 }
@@ -132,7 +132,7 @@
     /// Calls refused because there was no memory for their bodies.
     pub held_refusals: Counter,
     /// Client connections aborted because the client did not read.
-    pub callers_cut_off: Family<CutLabels, Counter>,
+    pub callers_cut_off: Family<DisconnectLabels, Counter>,
     /// Version of the routing table in force on this node.
     pub routing_version: Gauge<i64, AtomicI64>,
     /// Revision of the record partitions known to this node.
@@ -384,7 +384,7 @@
     }
 
     /// Records the age of the routing table's proof for a call; none counts as infinite.
-    pub fn note_proof_age(&self, age: Option<Duration>) {
+    pub fn observe_proof_age(&self, age: Option<Duration>) {
         let age = age.map_or(f64::INFINITY, |age| age.as_secs_f64());
         self.proof_age.observe(age);
     }
--- a/crates/courseshed-edge/src/peers.rs
+++ b/crates/courseshed-edge/src/peers.rs
@@ -12,7 +12,7 @@
 use snafu::{ResultExt, Snafu};
 use tokio::runtime::Handle;
 
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 use crate::protocol::{FleetProtocol, PeerAddresses, PeerPort};
 
 /// Short timeouts: an unreachable machine sends no reset, so it is only detected by them.
@@ -64,10 +64,10 @@
     let settings = TransportSettings {
         identity: PeerIdentity {
             node,
-            incarnation: Incarnation(time_of_day_ms()),
+            incarnation: Incarnation(unix_time_ms()),
         },
         queue_capacity: QUEUE_CAPACITY,
-        seed: time_of_day_ms() ^ u64::from(node.0),
+        seed: unix_time_ms() ^ u64::from(node.0),
         timing: TIMING,
     };
     Transport::start(settings, listener, handler, &Handle::current()).context(StartSnafu)
--- a/crates/courseshed-edge/src/protocol.rs
+++ b/crates/courseshed-edge/src/protocol.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 
 use courseshed_consensus::{Message, ReplicaId};
-use courseshed_pool::{CallDemand, CallNote, DecisionInputs, RunningCall, Verdict};
+use courseshed_pool::{CallDemand, CallEndReport, DecisionInputs, RunningCall, Verdict};
 use courseshed_quota::{QuotaAnswer, QuotaReport};
 use courseshed_records::{
     ChainError, ExportCursor, ExportPage, PartitionId, Record, Reserved, Turn,
@@ -80,7 +80,7 @@
         /// The service that the pool serves.
         service: String,
         /// Notes on calls that ended.
-        notes: Vec<CallNote>,
+        notes: Vec<CallEndReport>,
     },
     /// All calls of a gateway that are running on engines of a pool, for its scheduler.
     PoolCalls {
--- a/crates/courseshed-edge/src/records/client.rs
+++ b/crates/courseshed-edge/src/records/client.rs
@@ -10,7 +10,7 @@
     ChainError, MissTally, PartitionId, PartitionMap, Record, RecordMember, RecordView,
     ReservationDecision, ReservationTally, Turn, WriteTally,
 };
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::{CachedPrompt, Distance, NodeId, ZoneMap};
 use futures_util::StreamExt;
 use futures_util::stream::FuturesUnordered;
@@ -45,21 +45,21 @@
     NoQuorum,
     /// Too many stores are full for a quorum to accept a new program.
     #[snafu(display("the record stores have no room for more programs"))]
-    NoRoom,
+    StoresFull,
 }
 
 /// The result of looking up a turn.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChainLookup {
     /// The turn and its predecessors.
-    Kept(KeptChain),
+    Kept(StoredChain),
     /// The turn was never stored, or has expired.
     Unknown,
 }
 
 /// A turn with its predecessors.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct KeptChain {
+pub struct StoredChain {
     /// The partition of the chain, in which turns that continue it must be stored.
     pub partition: PartitionId,
     /// The turns, oldest first.
@@ -153,7 +153,9 @@
                     let decision = tally.on_reserved(node, &reserved)?;
                     Some(Ok((decision, std::mem::take(&mut cached_prompts))))
                 }
-                RecordReply::Full if spare_replicas == 0 => Some(Err(RecordsUnavailable::NoRoom)),
+                RecordReply::Full if spare_replicas == 0 => {
+                    Some(Err(RecordsUnavailable::StoresFull))
+                }
                 RecordReply::Full => {
                     spare_replicas -= 1;
                     None
@@ -209,7 +211,11 @@
     /// Like [`Self::home_of`] for turns restricted to some regions; prefers local partitions. None if no partition
     /// has all its replicas in the allowed regions.
     #[must_use]
-    pub fn home_within(&self, program: &str, homes: &HomeRegions) -> Option<PartitionId> {
+    pub fn partition_for_new_program(
+        &self,
+        program: &str,
+        homes: &AllowedRegions,
+    ) -> Option<PartitionId> {
         if !homes.is_restricted() {
             return Some(self.home_of(program));
         }
@@ -222,12 +228,12 @@
 
     /// Whether all replicas of a partition, including joining ones, are in the allowed regions.
     #[must_use]
-    pub fn may_keep(&self, partition: PartitionId, homes: &HomeRegions) -> bool {
+    pub fn may_keep(&self, partition: PartitionId, homes: &AllowedRegions) -> bool {
         let records = self.follower.view().records;
         !homes.is_restricted() || self.is_within(records.view(partition), homes)
     }
 
-    fn is_within(&self, view: &RecordView, homes: &HomeRegions) -> bool {
+    fn is_within(&self, view: &RecordView, homes: &AllowedRegions) -> bool {
         let is_allowed = |member: &RecordMember| homes.allows(self.zones.region_of(&member.zone));
         !view.members.is_empty() && view.members.iter().all(is_allowed)
     }
@@ -272,7 +278,7 @@
         deadline: Instant,
     ) -> Result<ChainLookup, RecordsUnavailable> {
         let operation = RecordOperation::Chain { id: id.to_owned() };
-        let kept = |turns| ChainLookup::Kept(KeptChain { partition, turns });
+        let kept = |turns| ChainLookup::Kept(StoredChain { partition, turns });
         let records = self.follower.view().records;
         let view = records.view(partition);
         if let Some(nearest) = self.nearest(view, id) {
--- a/crates/courseshed-edge/src/records/disk.rs
+++ b/crates/courseshed-edge/src/records/disk.rs
@@ -13,7 +13,7 @@
 use courseshed_types::CachedPrompt;
 use tokio::sync::oneshot;
 
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 use crate::metrics::Metrics;
 use crate::protocol::{FleetProtocol, PeerReply, RecordOperation, RecordReply, RecordRequest};
 
@@ -122,7 +122,7 @@
     }
 
     fn serve(&mut self, batch: Vec<DiskRequest>) {
-        let now = time_of_day_ms();
+        let now = unix_time_ms();
         let mut records = Vec::new();
         let mut epochs = BTreeMap::new();
         let mut answers = Vec::new();
@@ -244,7 +244,7 @@
 
     /// Drops expired entries and runs one step of compaction; returns whether more steps are due.
     fn run_maintenance(&mut self, is_compacting: bool) -> bool {
-        let now = time_of_day_ms();
+        let now = unix_time_ms();
         let is_due = self.expired_at.elapsed() >= EXPIRY_INTERVAL;
         if is_due {
             self.expired_at = Instant::now();
@@ -278,6 +278,6 @@
         }
         self.reported_at = Instant::now();
         let figures = self.store.stats();
-        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, compacted_bytes = figures.compacted_bytes; "contents of the store");
+        log::info!(event = "records_kept", turns = figures.turns, reservations = figures.reservations, partitions = figures.partitions, segments = figures.segments, file_bytes = figures.file_bytes, live_bytes = figures.live_bytes, index_bytes = figures.index_bytes, cache_bytes = figures.cache_bytes, cache_hits = figures.cache_hits, cache_misses = figures.cache_misses, carried_bytes = figures.compacted_bytes; "contents of the store");
     }
 }
--- a/crates/courseshed-edge/src/records/store.rs
+++ b/crates/courseshed-edge/src/records/store.rs
@@ -14,7 +14,7 @@
 
 use super::catch_up;
 use super::disk::Disk;
-use crate::clock::time_of_day_ms;
+use crate::clock::unix_time_ms;
 use crate::control_client::ControlClient;
 use crate::follower::{FleetFollower, FollowerKind};
 use crate::metrics::Metrics;
@@ -91,7 +91,7 @@
 pub fn start(settings: StoreSettings) -> Result<(), StoreError> {
     let incarnation_if_new = rand::rng().random_range(1..u64::MAX);
     let started = Instant::now();
-    let now = time_of_day_ms();
+    let now = unix_time_ms();
     let opened = RecordStore::open(&settings.folder, incarnation_if_new, settings.limits, now);
     let store = opened.context(JournalSnafu)?;
     let incarnation = store.incarnation();
--- a/crates/courseshed-edge/src/signals.rs
+++ b/crates/courseshed-edge/src/signals.rs
@@ -3,7 +3,7 @@
 use tokio::signal::unix::{Signal, SignalKind, signal};
 
 /// Completes on SIGTERM or SIGINT; never completes if the handlers cannot be installed.
-pub async fn stop_asked() {
+pub async fn shutdown_signal() {
     let (Ok(mut terminate), Ok(mut interrupt)) = (
         signal(SignalKind::terminate()),
         signal(SignalKind::interrupt()),
--- a/crates/courseshed-edge/src/sockets.rs
+++ b/crates/courseshed-edge/src/sockets.rs
@@ -22,7 +22,7 @@
 ///
 /// # Errors
 /// Returns the error of the failed socket option.
-pub fn bear_slow_reader(stream: &TcpStream) -> io::Result<()> {
+pub fn tolerate_slow_reader(stream: &TcpStream) -> io::Result<()> {
     SockRef::from(stream).set_tcp_user_timeout(None)
 }
 
--- a/crates/courseshed-edge/tests/access.rs
+++ b/crates/courseshed-edge/tests/access.rs
@@ -21,16 +21,16 @@
         path_prefix: "/a/".to_owned(),
         kind: CallKind::Repeatable,
         timeout_ms: 1000,
-        aim_ms: 100,
+        latency_target_ms: 100,
         priority: 0,
         targets: Vec::new(),
         max_attempts: 1,
-        keeps_turns: false,
+        stores_turns: false,
         retention_ms: 0,
         affinity: false,
         resumable: false,
         is_public,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -41,7 +41,7 @@
             keys: vec![KeyDigest::of(key.as_bytes())],
             priority: None,
             quota: None,
-            home_regions: Vec::new(),
+            allowed_regions: Vec::new(),
         })
     };
     let table = RoutingTable {
@@ -85,7 +85,7 @@
         .map_err(|refusal| *refusal);
     assert_eq!(name, expected);
     if let Ok(caller) = &caller {
-        assert!(caller.hides_key);
+        assert!(caller.strips_key);
     }
 }
 
@@ -97,7 +97,7 @@
         .authenticate(key("k9"), &route(true), &table, None)
         .expect("accepted");
     assert_eq!(caller.tenant_name(), None);
-    assert!(caller.hides_key);
+    assert!(caller.strips_key);
 }
 
 #[test]
@@ -112,7 +112,7 @@
         )
         .expect("accepted");
     assert_eq!(caller.tenant_name(), None);
-    assert!(!caller.hides_key);
+    assert!(!caller.strips_key);
 }
 
 #[test]
--- a/crates/courseshed-edge/tests/call_tracker.rs
+++ b/crates/courseshed-edge/tests/call_tracker.rs
@@ -4,13 +4,13 @@
 use std::time::Duration;
 
 use courseshed_edge::gateway::{CallTracker, UNRESPONSIVE_COOLDOWN};
-use courseshed_pool::{CallEnd, CallNote};
+use courseshed_pool::{CallEnd, CallEndReport};
 use courseshed_types::{NodeId, ServerKey};
 
 const NOW: Duration = Duration::from_secs(10);
 const CONTROLLERS: [NodeId; 3] = [NodeId(1), NodeId(2), NodeId(3)];
 const ENGINE: ServerKey = ServerKey(7);
-const COMPLETED: CallEnd = CallEnd::Whole {
+const COMPLETED: CallEnd = CallEnd::Completed {
     generated: 30,
     first_tokens: 3,
     first_part_ms: 5,
@@ -61,7 +61,7 @@
         let (number, _) = earlier.begin_queued("s", CONTROLLERS[0]);
         assert!(number > last);
         last = number;
-        earlier.end(number, CallEnd::Given);
+        earlier.end(number, CallEnd::Abandoned);
     }
     let (first, _) = later.begin_queued("s", CONTROLLERS[0]);
     assert!(first > last);
@@ -75,9 +75,9 @@
     tracker.report_running("s", CONTROLLERS[1], NOW);
     tracker.report_running("s", CONTROLLERS[1], NOW);
     tracker.end(number, COMPLETED);
-    tracker.end(number, CallEnd::Given);
+    tracker.end(number, CallEnd::Abandoned);
     let notes = tracker.take_notes();
-    let note = CallNote {
+    let note = CallEndReport {
         number,
         end: COMPLETED,
     };
@@ -105,7 +105,7 @@
     assert!(
         running
             .iter()
-            .all(|call| call.engine == ENGINE && call.for_ms == 40)
+            .all(|call| call.engine == ENGINE && call.running_ms == 40)
     );
 }
 
--- a/crates/courseshed-edge/tests/choice.rs
+++ b/crates/courseshed-edge/tests/choice.rs
@@ -11,7 +11,7 @@
 use courseshed_registry::{
     EvacuatedZones, LoadReport, Server, ServerList, ServerLoad, ServerState,
 };
-use courseshed_routing::{HomeRegions, Route};
+use courseshed_routing::{AllowedRegions, Route};
 use courseshed_types::{PromptPart, ServerKey, ZoneMap};
 use yare::parameterized;
 
@@ -47,7 +47,7 @@
         zone: "a",
         parts,
         max_in_flight: u32::MAX,
-        homes: &HomeRegions::ANY,
+        homes: &AllowedRegions::ANY,
     }
 }
 
@@ -288,11 +288,11 @@
         table.begin("home");
     }
     let restricted = |regions: &[&str]| Route {
-        home_regions: regions.iter().map(|region| (*region).to_owned()).collect(),
+        allowed_regions: regions.iter().map(|region| (*region).to_owned()).collect(),
         ..support::plain_route()
     };
     let chosen = |regions: &[&str], excluded: &[String]| {
-        let homes = HomeRegions::of(&restricted(regions), None);
+        let homes = AllowedRegions::of(&restricted(regions), None);
         let demand = Demand {
             homes: &homes,
             ..demand(&[])
--- a/crates/courseshed-edge/tests/cost.rs
+++ b/crates/courseshed-edge/tests/cost.rs
@@ -7,7 +7,7 @@
     CostInputs, Demand, LatencyEstimate, ServerTable, ServiceLatency, expected_cost_ms,
 };
 use courseshed_registry::{Server, ServerList, ServerState};
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::PromptPart;
 use yare::parameterized;
 
@@ -144,7 +144,7 @@
         zone: "near",
         parts,
         max_in_flight,
-        homes: &HomeRegions::ANY,
+        homes: &AllowedRegions::ANY,
     };
     table.choose(&demand, &[], NOW, 7).map(|chosen| chosen.id)
 }
--- a/crates/courseshed-edge/tests/failing_servers.rs
+++ b/crates/courseshed-edge/tests/failing_servers.rs
@@ -9,7 +9,7 @@
 use courseshed_registry::{
     AvoidanceChange, LoadAggregator, Server, ServerList, ServerState, report_interval,
 };
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::NodeId;
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -150,7 +150,7 @@
                 zone: "a",
                 parts: &[],
                 max_in_flight: 100,
-                homes: &HomeRegions::ANY,
+                homes: &AllowedRegions::ANY,
             };
             let now = Duration::from_millis(at);
             let table = &mut self.gateways[gateway];
--- a/crates/courseshed-edge/tests/forwarding.rs
+++ b/crates/courseshed-edge/tests/forwarding.rs
@@ -369,7 +369,7 @@
     })
     .await;
     let mut route = stream_route();
-    route.keeps_turns = true;
+    route.stores_turns = true;
     fleet.set_routes(vec![route]).await;
     fleet.add_server("one", &server).await;
     fleet.wait_for_record_stores().await;
@@ -397,7 +397,7 @@
     };
     let server = MockServer::start(respond).await;
     let mut route = stream_route();
-    route.keeps_turns = true;
+    route.stores_turns = true;
     fleet.set_routes(vec![route]).await;
     fleet.add_server("one", &server).await;
     fleet.wait_for_record_stores().await;
@@ -447,7 +447,7 @@
     };
     let cached = MockServer::start(respond).await;
     let mut route = stream_route();
-    route.keeps_turns = true;
+    route.stores_turns = true;
     fleet.set_routes(vec![route]).await;
     fleet.add_server("reader", &cached).await;
     fleet.wait_for_record_stores().await;
--- a/crates/courseshed-edge/tests/memory_budget.rs
+++ b/crates/courseshed-edge/tests/memory_budget.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-use courseshed_edge::gateway::{BufferKind, DisconnectReason, HeldTerms, MemoryBudget};
+use courseshed_edge::gateway::{BufferKind, DisconnectReason, MemoryBudget, MemoryLimits};
 
-const TERMS: HeldTerms = HeldTerms {
+const TERMS: MemoryLimits = MemoryLimits {
     total_bytes: 1000,
     connection_bytes: 0,
     admission_bytes: 750,
     read_stall: Duration::from_secs(10),
-    pressed_stall: Duration::from_secs(3),
+    pressure_stall_limit: Duration::from_secs(3),
 };
 
 fn seconds(seconds: u64) -> Duration {
@@ -48,7 +48,7 @@
 
 #[test]
 fn connection_overhead_counts_while_it_is_open() {
-    let terms = HeldTerms {
+    let terms = MemoryLimits {
         connection_bytes: 60,
         ..TERMS
     };
@@ -156,9 +156,9 @@
 
 #[test]
 fn budget_depends_on_machine_memory_with_a_minimum() {
-    let small = HeldTerms::for_machine(0);
+    let small = MemoryLimits::for_machine(0);
     assert_eq!(small.total_bytes, 16 * 1024 * 1024);
-    let typical = HeldTerms::for_machine(88_000_000);
+    let typical = MemoryLimits::for_machine(88_000_000);
     assert_eq!(typical.total_bytes, 56_000_000);
     assert_eq!(typical.admission_bytes, 49_000_000);
 }
--- a/crates/courseshed-edge/tests/policy.rs
+++ b/crates/courseshed-edge/tests/policy.rs
@@ -4,7 +4,7 @@
 
 use courseshed_edge::gateway::{CallReport, Demand, Mechanism, Policy, ServerTable};
 use courseshed_registry::{Server, ServerList, ServerState};
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 use yare::parameterized;
 
@@ -45,7 +45,7 @@
         zone: "near",
         parts: &PROMPT,
         max_in_flight: u32::MAX,
-        homes: &HomeRegions::ANY,
+        homes: &AllowedRegions::ANY,
     };
     (0..100)
         .filter_map(|tie| table.choose(&demand, &[], NOW, tie))
--- a/crates/courseshed-edge/tests/pool_scheduling.rs
+++ b/crates/courseshed-edge/tests/pool_scheduling.rs
@@ -9,13 +9,13 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use courseshed_edge::gateway::{HeldTerms, Mechanism, Policy, UNRESPONSIVE_COOLDOWN};
+use courseshed_edge::gateway::{Mechanism, MemoryLimits, Policy, UNRESPONSIVE_COOLDOWN};
 use courseshed_edge::peers::{Peers, start_peers};
 use courseshed_edge::protocol::{
     FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest, node_at,
 };
 use courseshed_pool::{
-    CallDemand, CallEnd, CallNote, DecisionInputs, NameKey, RunningCall, Verdict,
+    CallDemand, CallEnd, CallEndReport, DecisionInputs, NameHash, RunningCall, Verdict,
 };
 use courseshed_registry::{Server, ServerState};
 use courseshed_routing::Route;
@@ -70,7 +70,7 @@
             GRACE,
             Policy::default(),
             None,
-            HeldTerms::for_machine(AMPLE_MEMORY),
+            MemoryLimits::for_machine(AMPLE_MEMORY),
         );
         wait_until(async || status(&get(gateway.readiness_addr, "/").await) == 200).await;
         Self {
@@ -236,8 +236,8 @@
         .collect();
     let ended: Vec<u64> = received.notes.iter().map(|note| note.number).collect();
     assert_eq!(numbers.into_iter().collect::<Vec<_>>(), ended);
-    assert!(matches!(received.notes[0].end, CallEnd::Whole { .. }));
-    assert_eq!(received.notes[1].end, CallEnd::Given);
+    assert!(matches!(received.notes[0].end, CallEnd::Completed { .. }));
+    assert_eq!(received.notes[1].end, CallEnd::Abandoned);
     assert_eq!(received.demands[0].number, received.demands[2].number);
     assert!(received.demands[0].waited_ms <= received.demands[2].waited_ms);
 }
@@ -294,8 +294,8 @@
     wait_until(async || received.lock().notes.len() == 2).await;
     let received = received.lock();
     assert_eq!(received.notes[0].number, received.demands[0].number);
-    assert_eq!(received.notes[0].end, CallEnd::Given);
-    assert!(matches!(received.notes[1].end, CallEnd::Whole { .. }));
+    assert_eq!(received.notes[0].end, CallEnd::Abandoned);
+    assert!(matches!(received.notes[1].end, CallEnd::Completed { .. }));
 }
 
 /// Makes one call with a scheduler that grants engine `one`; returns the response and the attempt ends reported to
@@ -337,7 +337,7 @@
     let (response, ends) = reported_ends(stream_route(), &server, 1).await;
     assert_eq!(status(&response), 200, "{response}");
     let [
-        CallEnd::Whole {
+        CallEnd::Completed {
             generated,
             first_tokens,
             first_part_ms,
@@ -371,9 +371,9 @@
 async fn end_of_an_unbuffered_response_is_reported() {
     const LONG: usize = 3 * 1024 * 1024;
     let cases = [
-        ("200 OK", true, CallEnd::Given),
+        ("200 OK", true, CallEnd::Abandoned),
         ("500 Failed", true, CallEnd::Failed),
-        ("200 OK", false, CallEnd::Broken),
+        ("200 OK", false, CallEnd::Disconnected),
     ];
     for (head, is_complete, end) in cases {
         let server = MockServer::start(move |request| {
@@ -401,7 +401,7 @@
     .await;
     let (response, ends) = reported_ends(plain_route(), &server, 2).await;
     assert_eq!(status(&response), 503, "{response}");
-    assert_eq!(ends, [CallEnd::Refused, CallEnd::Given]);
+    assert_eq!(ends, [CallEnd::Refused, CallEnd::Abandoned]);
     assert_eq!(server.requests().len(), 1);
 }
 
@@ -424,7 +424,7 @@
         response.contains("d1") && response.ends_with(FINAL_CHUNK),
         "{response}"
     );
-    assert_eq!(ends, [CallEnd::Broken, CallEnd::Given]);
+    assert_eq!(ends, [CallEnd::Disconnected, CallEnd::Abandoned]);
     assert_eq!(server.requests().len(), 2);
 }
 
@@ -460,7 +460,7 @@
     assert!(response.len() > CHUNK_BYTES && !response.ends_with(FINAL_CHUNK.as_bytes()));
     wait_until(async || !received.lock().notes.is_empty()).await;
     let ends: Vec<CallEnd> = received.lock().notes.iter().map(|note| note.end).collect();
-    assert_eq!(ends, [CallEnd::Given]);
+    assert_eq!(ends, [CallEnd::Abandoned]);
 }
 
 /// The gateway's own error handling is disabled, so that only the scheduler keeps calls away from the engine, whose
@@ -564,12 +564,12 @@
 fn demand(number: u64) -> CallDemand {
     CallDemand {
         number,
-        route: NameKey(1),
+        route: NameHash(1),
         rank: 0,
         tenant: None,
         tenant_weight: 1.0,
         program: None,
-        zone: NameKey(1),
+        zone: NameHash(1),
         parts: Vec::new(),
         most_tokens: 10,
         waited_ms: 0,
@@ -601,13 +601,13 @@
     let waiting = number + 1;
     let queued = client.verdict(waiting).await;
     assert_eq!(queued, (incarnation, Verdict::Waiting));
-    let end = CallEnd::Whole {
+    let end = CallEnd::Completed {
         generated: 10,
         first_tokens: 1,
         first_part_ms: 1,
         took_ms: 2,
     };
-    let notes = vec![CallNote { number: 1, end }];
+    let notes = vec![CallEndReport { number: 1, end }];
     let service = "s".to_owned();
     client.send(PeerMessage::PoolNotes { service, notes });
     assert_eq!(client.verdict(waiting).await, (incarnation, granted()));
@@ -625,7 +625,7 @@
     let running = |number| RunningCall {
         number,
         engine: ServerKey::of("one"),
-        for_ms: 1_000,
+        running_ms: 1_000,
     };
     client.send(PeerMessage::PoolCalls {
         service: "s".to_owned(),
--- a/crates/courseshed-edge/tests/slow_readers.rs
+++ b/crates/courseshed-edge/tests/slow_readers.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_edge::gateway::HeldTerms;
+use courseshed_edge::gateway::MemoryLimits;
 use support::server::{
     Action, FINAL_CHUNK, MockServer, ReceivedRequest, UNREAD_CALL_PREFIX, chunk, event, response,
     stream_head,
@@ -156,11 +156,11 @@
     const TOTAL_BYTES: usize = 32 * 1024 * 1024;
     /// Data that may arrive between two checks of the connections.
     const MARGIN_BYTES: usize = TOTAL_BYTES;
-    let memory = HeldTerms {
+    let memory = MemoryLimits {
         total_bytes: TOTAL_BYTES,
         admission_bytes: TOTAL_BYTES + MARGIN_BYTES,
         read_stall: NEVER,
-        ..HeldTerms::for_machine(AMPLE_MEMORY)
+        ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
     fleet
@@ -184,12 +184,12 @@
 async fn callers_are_admitted_again_after_slow_ones_exhausted_the_memory() {
     const ADMISSION_BYTES: usize = 4 * 1024 * 1024;
     const CALLERS: usize = 90;
-    let memory = HeldTerms {
+    let memory = MemoryLimits {
         total_bytes: 64 * ADMISSION_BYTES,
         admission_bytes: ADMISSION_BYTES,
         read_stall: NEVER,
-        pressed_stall: Duration::from_millis(300),
-        ..HeldTerms::for_machine(AMPLE_MEMORY)
+        pressure_stall_limit: Duration::from_millis(300),
+        ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
     let server = start_streaming_server().await;
@@ -218,9 +218,9 @@
 
 #[actix_rt::test]
 async fn stalled_caller_is_disconnected() {
-    let memory = HeldTerms {
+    let memory = MemoryLimits {
         read_stall: Duration::from_millis(500),
-        ..HeldTerms::for_machine(AMPLE_MEMORY)
+        ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
     let server = start_streaming_server().await;
@@ -244,11 +244,11 @@
     const BODY: usize = 512 * 1024;
     const TOTAL_BYTES: usize = 12 * 1024 * 1024;
     const CALLERS: usize = 60;
-    let memory = HeldTerms {
+    let memory = MemoryLimits {
         total_bytes: TOTAL_BYTES,
         admission_bytes: TOTAL_BYTES / 4 * 3,
         read_stall: NEVER,
-        ..HeldTerms::for_machine(AMPLE_MEMORY)
+        ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
     let server = MockServer::start(|request| Action::Write(response(request, "served"))).await;
--- a/crates/courseshed-edge/tests/support/large_fleet.rs
+++ b/crates/courseshed-edge/tests/support/large_fleet.rs
@@ -5,7 +5,7 @@
 
 use courseshed_edge::gateway::{Demand, ServerTable};
 use courseshed_registry::{Server, ServerList, ServerState};
-use courseshed_routing::HomeRegions;
+use courseshed_routing::AllowedRegions;
 use courseshed_types::PromptPart;
 
 pub const NOW: Duration = Duration::from_secs(10);
@@ -53,7 +53,7 @@
         zone: "zone-1",
         parts: prompt,
         max_in_flight: u32::MAX,
-        homes: &HomeRegions::ANY,
+        homes: &AllowedRegions::ANY,
     };
     table.choose(&demand, &[], NOW, tie).map(|chosen| chosen.id)
 }
--- a/crates/courseshed-edge/tests/support/mod.rs
+++ b/crates/courseshed-edge/tests/support/mod.rs
@@ -14,11 +14,13 @@
 use bytes::Bytes;
 use courseshed_consensus::FaultSwitch;
 use courseshed_edge::controller::{self, ControllerHandle, ControllerSettings, LossTerms};
-use courseshed_edge::gateway::{self, GatewaySettings, HeldTerms, Policy, ShortCodec, TenantTerms};
+use courseshed_edge::gateway::{
+    self, GatewaySettings, MemoryLimits, Policy, ShortCodec, TenantSettings,
+};
 use courseshed_edge::metrics::Metrics;
 use courseshed_edge::protocol::{PeerAddresses, node_at};
 use courseshed_edge::records::{self, StoreLimits, StoreSettings};
-use courseshed_quota::QuotaTerms;
+use courseshed_quota::QuotaPolicy;
 use courseshed_registry::{Registration, Server, ServerState};
 use courseshed_routing::{
     CallKind, CallLimits, EngineLimits, KeyDigest, RequestQuota, Route, RoutingTable, Service,
@@ -33,7 +35,7 @@
 static NEXT_FLEET: AtomicU8 = AtomicU8::new(1);
 
 /// Request quota settings of test gateways and controllers.
-pub const QUOTA: QuotaTerms = QuotaTerms {
+pub const QUOTA: QuotaPolicy = QuotaPolicy {
     window: Duration::from_secs(5),
     overshoot: 0.1,
     slack: 0.0,
@@ -80,7 +82,7 @@
     grace: Duration,
     policy: Policy,
     revocation: Option<Duration>,
-    memory: HeldTerms,
+    memory: MemoryLimits,
 ) -> Gateway {
     let caller_addr = SocketAddr::from((ip, addresses.first_port + 8));
     let readiness_addr = SocketAddr::from((ip, addresses.first_port + 9));
@@ -97,7 +99,7 @@
         metrics: metrics.clone(),
         codec: Box::new(ShortCodec),
         policy,
-        tenants: TenantTerms {
+        tenants: TenantSettings {
             revocation,
             quota: QUOTA,
         },
@@ -152,7 +154,7 @@
 
     /// Starts a fleet that enforces key revocation within the given time.
     pub async fn start_with_revocation(grace: Duration, revocation: Duration) -> Self {
-        let memory = HeldTerms::for_machine(AMPLE_MEMORY);
+        let memory = MemoryLimits::for_machine(AMPLE_MEMORY);
         Self::start_with_settings(
             grace,
             Policy::default(),
@@ -169,12 +171,12 @@
         policy: Policy,
         store_limits: StoreLimits,
     ) -> Self {
-        let memory = HeldTerms::for_machine(AMPLE_MEMORY);
+        let memory = MemoryLimits::for_machine(AMPLE_MEMORY);
         Self::start_with_settings(grace, policy, store_limits, None, memory).await
     }
 
     /// Starts a fleet whose gateway has the given memory budget.
-    pub async fn start_with_memory(grace: Duration, memory: HeldTerms) -> Self {
+    pub async fn start_with_memory(grace: Duration, memory: MemoryLimits) -> Self {
         Self::start_with_settings(grace, Policy::default(), AMPLE_STORE, None, memory).await
     }
 
@@ -183,7 +185,7 @@
         policy: Policy,
         store_limits: StoreLimits,
         revocation: Option<Duration>,
-        memory: HeldTerms,
+        memory: MemoryLimits,
     ) -> Self {
         let folder = TempDir::new().expect("a folder");
         let [a, b, c, _] = new_subnet().octets();
@@ -326,7 +328,7 @@
             grace,
             policy,
             None,
-            HeldTerms::for_machine(AMPLE_MEMORY),
+            MemoryLimits::for_machine(AMPLE_MEMORY),
         );
         wait_until(async || status(&get(gateway.readiness_addr, "/").await) == 200).await;
         gateway
@@ -344,7 +346,7 @@
 /// A routing table with one engine service, `s`.
 pub fn table(version: u64, routes: Vec<Route>, tenants: Option<Vec<Tenant>>) -> VersionedTable {
     let service = Service {
-        cold_per_s: None,
+        warm_up_rate_per_s: None,
         name: "s".to_owned(),
         connection_limit: 100,
         engine: Some(EngineLimits {
@@ -372,19 +374,19 @@
         path_prefix: "/a/".to_owned(),
         kind: CallKind::AtMostOnce,
         timeout_ms: 60_000,
-        aim_ms: 100,
+        latency_target_ms: 100,
         priority: 0,
         targets: vec![Target {
             service: "s".to_owned(),
             weight: 1.0,
         }],
         max_attempts: 1,
-        keeps_turns: false,
+        stores_turns: false,
         retention_ms: 60_000,
         affinity: false,
         resumable: false,
         is_public: false,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -463,6 +465,6 @@
             rate_per_s,
             burst: 0.0,
         }),
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
--- a/crates/courseshed-edge/tests/support/scheduler.rs
+++ b/crates/courseshed-edge/tests/support/scheduler.rs
@@ -8,7 +8,7 @@
 use courseshed_edge::protocol::{
     FleetProtocol, PeerAddresses, PeerMessage, PeerPort, PeerReply, PeerRequest, node_at,
 };
-use courseshed_pool::{CallDemand, CallNote, RunningCall};
+use courseshed_pool::{CallDemand, CallEndReport, RunningCall};
 use courseshed_registry::{FleetUpdate, FollowerRevisions, Server, ServerChanges};
 use courseshed_routing::VersionedTable;
 use courseshed_transport::{Handler, PeerIdentity, ReplySender};
@@ -29,7 +29,7 @@
 #[derive(Default)]
 pub struct Received {
     pub demands: Vec<CallDemand>,
-    pub notes: Vec<CallNote>,
+    pub notes: Vec<CallEndReport>,
     pub running: Vec<Vec<RunningCall>>,
 }
 
--- a/crates/courseshed-edge/tests/tenants.rs
+++ b/crates/courseshed-edge/tests/tenants.rs
@@ -19,7 +19,7 @@
         name: "public".to_owned(),
         path_prefix: "/a/".to_owned(),
         is_public: true,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
         ..plain_route()
     }
 }
@@ -166,7 +166,7 @@
     fleet.add_server("one", &server).await;
     let tenants = vec![tenant("a", "k1", None), tenant("b", "k2", None)];
     let mut route = stream_route();
-    route.keeps_turns = true;
+    route.stores_turns = true;
     fleet.publish_routing(2, vec![route], Some(tenants)).await;
     let unknown = "x-auth: k1\r\nx-previous: never\r\n";
     wait_until(async || status(&call(fleet.caller_addr, "p", unknown, "").await) == 404).await;
--- a/crates/courseshed-pool/src/lib.rs
+++ b/crates/courseshed-pool/src/lib.rs
@@ -19,8 +19,8 @@
 mod speed;
 
 pub use message::{
-    CallDemand, CallEnd, CallNote, Decision, DecisionInputs, EngineListing, NameKey,
-    ProgramStanding, RunningCall, Ticket, Verdict,
+    CallDemand, CallEnd, CallEndReport, Decision, DecisionInputs, EngineListing, NameHash,
+    ProgramContext, RunningCall, Ticket, Verdict,
 };
 pub use quantile::Quantile;
 pub use scheduler::PoolScheduler;
--- a/crates/courseshed-pool/src/programs.rs
+++ b/crates/courseshed-pool/src/programs.rs
@@ -8,7 +8,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::{NameKey, ProgramStanding};
+use crate::{NameHash, ProgramContext};
 
 /// Fraction of the budgeted turns assumed before any program of a route has ended.
 const DEFAULT_BUDGET_FRACTION: f64 = 0.7;
@@ -58,9 +58,9 @@
 
 #[derive(Clone, Copy, Debug)]
 struct ProgramEntry {
-    route: NameKey,
+    route: NameHash,
     turns: u32,
-    turns_budgeted: Option<f32>,
+    budgeted_turns: Option<f32>,
     target_at: Option<Duration>,
     last_turn_at: Duration,
     /// Queueing time of the last turn, in milliseconds; none until an engine is granted.
@@ -109,8 +109,8 @@
 /// Programs of a pool, and statistics of their routes.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Programs {
-    entries: BTreeMap<NameKey, ProgramEntry>,
-    routes: BTreeMap<NameKey, RouteStats>,
+    entries: BTreeMap<NameHash, ProgramEntry>,
+    routes: BTreeMap<NameHash, RouteStats>,
 }
 
 impl Programs {
@@ -118,12 +118,12 @@
     pub(crate) fn begin_turn(
         &mut self,
         now: Duration,
-        route: NameKey,
-        standing: &ProgramStanding,
+        route: NameHash,
+        standing: &ProgramContext,
     ) -> ProgramProgress {
         let stats = self.routes.entry(route).or_default();
         let left = standing
-            .left_ms
+            .time_left_ms
             .map(|left| Duration::from_millis(left.into()));
         let target_at = left.map(|left| now + left);
         let existing = self.entries.get_mut(&standing.program);
@@ -144,7 +144,7 @@
                 let entry = ProgramEntry {
                     route,
                     turns: 1,
-                    turns_budgeted: standing.turns_budgeted,
+                    budgeted_turns: standing.budgeted_turns,
                     target_at,
                     last_turn_at: now,
                     waited_ms: None,
@@ -154,7 +154,7 @@
                 entry
             }
         };
-        let expected_turns = standing.turns_budgeted.map_or(1.0, f64::from) * stats.budget_fraction;
+        let expected_turns = standing.budgeted_turns.map_or(1.0, f64::from) * stats.budget_fraction;
         let turns_done = f64::from(entry.turns - 1);
         ProgramProgress {
             is_first,
@@ -168,14 +168,14 @@
     }
 
     /// Records that a program's turn was granted an engine after `waited`.
-    pub(crate) fn record_grant(&mut self, program: NameKey, waited: Duration) {
+    pub(crate) fn record_grant(&mut self, program: NameHash, waited: Duration) {
         if let Some(entry) = self.entries.get_mut(&program) {
             entry.waited_ms = Some(waited.as_secs_f64() * 1000.0);
         }
     }
 
     /// Records the length of an answer.
-    pub(crate) fn record_answer(&mut self, route: NameKey, generated: u32) {
+    pub(crate) fn record_answer(&mut self, route: NameHash, generated: u32) {
         let stats = self.routes.entry(route).or_default();
         let sample = f64::from(generated);
         let mean = *stats.answer_tokens.get_or_insert(sample);
@@ -183,7 +183,7 @@
     }
 
     /// Expected answer length: the mean of the route, or half of `most_tokens` without samples.
-    pub(crate) fn expected_tokens(&self, route: NameKey, most_tokens: u32) -> f64 {
+    pub(crate) fn expected_tokens(&self, route: NameHash, most_tokens: u32) -> f64 {
         let mean = self
             .routes
             .get(&route)
@@ -200,7 +200,7 @@
             }
             entry.is_recorded = true;
             let stats = self.routes.entry(entry.route).or_default();
-            if let Some(budgeted) = entry.turns_budgeted.filter(|budgeted| *budgeted > 0.0) {
+            if let Some(budgeted) = entry.budgeted_turns.filter(|budgeted| *budgeted > 0.0) {
                 // Programs that exhaust their budget count as the full budget.
                 let fraction = (f64::from(entry.turns) / f64::from(budgeted)).min(1.0);
                 stats.budget_fraction += PROGRAM_WEIGHT * (fraction - stats.budget_fraction);
--- a/crates/courseshed-pool/src/scheduler.rs
+++ b/crates/courseshed-pool/src/scheduler.rs
@@ -12,8 +12,8 @@
 use crate::shares::TenantShares;
 use crate::speed::{AnswerTiming, PoolSpeed};
 use crate::{
-    CallDemand, CallEnd, CallNote, Decision, DecisionInputs, EngineListing, RunningCall, Ticket,
-    Verdict,
+    CallDemand, CallEnd, CallEndReport, Decision, DecisionInputs, EngineListing, RunningCall,
+    Ticket, Verdict,
 };
 
 /// A waiting call expires if its gateway has not asked for this long; gateways ask every 150 ms.
@@ -71,7 +71,7 @@
     }
 
     /// Handles a request for an engine. Repeating it keeps the call's position in the queue.
-    pub fn ask(&mut self, now: Duration, gateway: NodeId, demand: CallDemand) {
+    pub fn request(&mut self, now: Duration, gateway: NodeId, demand: CallDemand) {
         let started_at = *self.started_at.get_or_insert(now);
         let ticket = Ticket {
             gateway,
@@ -99,7 +99,7 @@
     }
 
     /// Handles reports on the ends of a gateway's calls, granted or waiting.
-    pub fn note(&mut self, now: Duration, gateway: NodeId, notes: &[CallNote]) {
+    pub fn report_ends(&mut self, now: Duration, gateway: NodeId, notes: &[CallEndReport]) {
         for note in notes {
             let ticket = Ticket {
                 gateway,
@@ -116,7 +116,7 @@
     }
 
     /// Handles a gateway's complete list of running calls: other calls of the gateway have ended.
-    pub fn set_running(&mut self, now: Duration, gateway: NodeId, calls: &[RunningCall]) {
+    pub fn report_running(&mut self, now: Duration, gateway: NodeId, calls: &[RunningCall]) {
         for ticket in self.calls.granted_by(gateway) {
             let is_named = calls.iter().any(|call| call.number == ticket.number);
             let granted = &self.calls.granted[&ticket];
@@ -125,7 +125,7 @@
                 continue;
             }
             if let Some(granted) = self.calls.granted.remove(&ticket) {
-                self.finish_call(now, ticket, &granted, CallEnd::Given);
+                self.finish_call(now, ticket, &granted, CallEnd::Abandoned);
             }
         }
         for call in calls {
@@ -333,7 +333,7 @@
 
     fn grant(&mut self, now: Duration, ticket: Ticket, call: WaitingCall, key: ServerKey) {
         let inputs = self.decision_inputs(now, &call, Some(key));
-        let expected = self.expected_duration(&call, key, inputs.unread_tokens);
+        let expected = self.expected_duration(&call, key, inputs.uncached_tokens);
         if let Some(program) = &call.demand.program {
             let waited = now.saturating_sub(call.asked_at);
             self.programs.record_grant(program.program, waited);
@@ -352,7 +352,7 @@
             engine: key,
             granted_at: now,
             expires_at: call.deadline.max(now + expected) + END_REPORT_GRACE,
-            uncached_tokens: inputs.unread_tokens,
+            uncached_tokens: inputs.uncached_tokens,
             demand: Some(call.demand),
         };
         self.calls.granted.insert(ticket, granted);
@@ -380,7 +380,7 @@
         };
         engine.end_call(&ticket);
         match end {
-            CallEnd::Whole {
+            CallEnd::Completed {
                 generated,
                 first_tokens,
                 first_part_ms,
@@ -402,8 +402,8 @@
             }
             CallEnd::Failed => engine.health.record_failure(now),
             CallEnd::Refused => engine.health.record_full(now),
-            CallEnd::Broken => engine.health.record_disconnect(now),
-            CallEnd::Given => {}
+            CallEnd::Disconnected => engine.health.record_disconnect(now),
+            CallEnd::Abandoned => {}
         }
     }
 
@@ -419,7 +419,7 @@
         let Some(engine) = self.engines.get_mut(call.engine) else {
             return;
         };
-        let since = now.saturating_sub(Duration::from_millis(call.for_ms.into()));
+        let since = now.saturating_sub(Duration::from_millis(call.running_ms.into()));
         engine.start_call(ticket, since + DEFAULT_CALL_DURATION);
         let granted = GrantedCall {
             engine: call.engine,
@@ -446,7 +446,7 @@
         let lost: Vec<Ticket> = lost.map(|(ticket, _)| *ticket).collect();
         for ticket in lost {
             if let Some(granted) = self.calls.granted.remove(&ticket) {
-                self.finish_call(now, ticket, &granted, CallEnd::Given);
+                self.finish_call(now, ticket, &granted, CallEnd::Abandoned);
             }
         }
     }
@@ -510,7 +510,7 @@
         let slack = call.progress.slack(now).unwrap_or(0.0);
         DecisionInputs {
             calls: engine.map_or(0, |engine| engine.running() as u32),
-            unread_tokens: engine.map_or(0, |engine| {
+            uncached_tokens: engine.map_or(0, |engine| {
                 engine.prompt_cache.uncached_tokens(&call.demand.parts)
             }),
             waited_ms: now.saturating_sub(call.asked_at).as_millis() as u32,
--- a/crates/courseshed-pool/src/shares.rs
+++ b/crates/courseshed-pool/src/shares.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::NameKey;
+use crate::NameHash;
 
 /// Half-life of the service accounts. Short enough that a burst takes effect before it has delayed
 /// other tenants' programs, which run for some seconds.
@@ -31,7 +31,7 @@
 /// Recent service by tenant.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct TenantShares {
-    accounts: BTreeMap<NameKey, Account>,
+    accounts: BTreeMap<NameHash, Account>,
     decayed_at: Duration,
     total_served_ms: f64,
     total_weight: f64,
@@ -39,7 +39,7 @@
 
 impl TenantShares {
     /// Charges a tenant for a call, in milliseconds of engine slot time.
-    pub(crate) fn charge(&mut self, now: Duration, tenant: NameKey, weight: f64, cost_ms: f64) {
+    pub(crate) fn charge(&mut self, now: Duration, tenant: NameHash, weight: f64, cost_ms: f64) {
         self.decay(now);
         let account = self.accounts.entry(tenant).or_insert(Account {
             weight,
@@ -56,7 +56,7 @@
     }
 
     /// Queue delay of a tenant's calls, in milliseconds.
-    pub(crate) fn delay_ms(&self, tenant: NameKey) -> f64 {
+    pub(crate) fn delay_ms(&self, tenant: NameHash) -> f64 {
         let Some(account) = self.accounts.get(&tenant) else {
             return 0.0;
         };
--- a/crates/courseshed-pool/tests/burst.rs
+++ b/crates/courseshed-pool/tests/burst.rs
@@ -84,7 +84,7 @@
 /// Calls that are not served must be refused early: at most one in ten may wait until its deadline.
 fn check_refusals(simulation: &Simulation, failures: &mut Vec<String>) {
     let is_refused = |record: &CallRecord| record.outcome == CallOutcome::RefusedByScheduler;
-    let is_expired = |record: &CallRecord| record.outcome == CallOutcome::Ended(CallEnd::Given);
+    let is_expired = |record: &CallRecord| record.outcome == CallOutcome::Ended(CallEnd::Abandoned);
     let is_late = |record: &CallRecord| is_refused(record) && record.elapsed_ms >= 2_500;
     let refused = simulation.count_calls(0..END_MS, is_refused);
     let late = simulation.count_calls(0..END_MS, is_late);
--- a/crates/courseshed-pool/tests/invariants.rs
+++ b/crates/courseshed-pool/tests/invariants.rs
@@ -6,8 +6,8 @@
 };
 
 use courseshed_pool::{
-    CallDemand, CallEnd, CallNote, Decision, EngineListing, NameKey, PoolScheduler,
-    ProgramStanding, RunningCall, Ticket, Verdict,
+    CallDemand, CallEnd, CallEndReport, Decision, EngineListing, NameHash, PoolScheduler,
+    ProgramContext, RunningCall, Ticket, Verdict,
 };
 use courseshed_types::{CachedPrompt, NodeId, PromptPart, ServerKey};
 use rand::{RngExt, SeedableRng};
@@ -108,7 +108,7 @@
             if self.random_below(5) > 0 {
                 let engine = EngineListing {
                     key: ServerKey(index + 6 * self.restarts[index as usize]),
-                    zone: NameKey(self.random_below(2)),
+                    zone: NameHash(self.random_below(2)),
                     slots: self.random_below(5) as u32,
                     memory_tokens: (self.random_below(3) > 0).then_some(50_000),
                     is_ready: self.random_below(5) > 0,
@@ -128,7 +128,7 @@
 
     fn demand(&mut self) -> CallDemand {
         self.last_number += 1;
-        let program = NameKey(self.last_number / 3);
+        let program = NameHash(self.last_number / 3);
         let parts = (0..self.random_below(4))
             .map(|_| PromptPart {
                 id: self.random_below(200),
@@ -138,16 +138,17 @@
         let key = self.random_engine();
         CallDemand {
             number: self.last_number,
-            route: NameKey(self.random_below(3)),
+            route: NameHash(self.random_below(3)),
             rank: self.random_below(3) as u32,
-            tenant: (self.random_below(3) > 0).then_some(NameKey(self.random_below(5))),
+            tenant: (self.random_below(3) > 0).then_some(NameHash(self.random_below(5))),
             tenant_weight: 1.0 + self.random_below(3) as f32,
-            program: (self.random_below(3) > 0).then_some(ProgramStanding {
+            program: (self.random_below(3) > 0).then_some(ProgramContext {
                 program,
-                left_ms: (self.random_below(3) > 0).then_some(self.random_below(20_000) as u32),
-                turns_budgeted: (self.random_below(2) > 0).then_some(self.random_below(30) as f32),
+                time_left_ms: (self.random_below(3) > 0)
+                    .then_some(self.random_below(20_000) as u32),
+                budgeted_turns: (self.random_below(2) > 0).then_some(self.random_below(30) as f32),
             }),
-            zone: NameKey(self.random_below(2)),
+            zone: NameHash(self.random_below(2)),
             held: vec![CachedPrompt {
                 server: key,
                 parts: parts.clone(),
@@ -179,7 +180,7 @@
             demand: demand.clone(),
         };
         self.waiting.insert(ticket, waiting);
-        self.scheduler.ask(self.clock(), gateway, demand);
+        self.scheduler.request(self.clock(), gateway, demand);
     }
 
     /// Repeats the requests for undecided calls, except those of silent gateways.
@@ -192,17 +193,18 @@
                 waiting.demand.waited_ms = (self.now - waiting.since_ms) as u32;
                 waiting.demand.time_left_ms = waiting.deadline_ms.saturating_sub(self.now) as u32;
                 self.scheduler
-                    .ask(clock, ticket.gateway, waiting.demand.clone());
+                    .request(clock, ticket.gateway, waiting.demand.clone());
             }
         }
     }
 
     fn report_end(&mut self, ticket: Ticket, end: CallEnd) {
-        let note = CallNote {
+        let note = CallEndReport {
             number: ticket.number,
             end,
         };
-        self.scheduler.note(self.clock(), ticket.gateway, &[note]);
+        self.scheduler
+            .report_ends(self.clock(), ticket.gateway, &[note]);
     }
 
     fn end_random_call(&mut self) {
@@ -216,9 +218,9 @@
         let end = match self.random_below(12) {
             0 => CallEnd::Failed,
             1 => CallEnd::Refused,
-            2 => CallEnd::Broken,
-            3 => CallEnd::Given,
-            _ => CallEnd::Whole {
+            2 => CallEnd::Disconnected,
+            3 => CallEnd::Abandoned,
+            _ => CallEnd::Completed {
                 generated: self.random_below(2_000) as u32,
                 first_tokens: 1,
                 first_part_ms: took_ms / 4,
@@ -237,7 +239,7 @@
         for ticket in late.map(|(ticket, _)| ticket).collect::<Vec<_>>() {
             let is_granted = self.granted.remove(&ticket).is_some();
             if is_granted && !self.is_silent(ticket.gateway) {
-                self.report_end(ticket, CallEnd::Given);
+                self.report_end(ticket, CallEnd::Abandoned);
             }
         }
     }
@@ -253,7 +255,7 @@
             ..self.demand()
         };
         self.check();
-        self.scheduler.ask(self.clock(), ticket.gateway, demand);
+        self.scheduler.request(self.clock(), ticket.gateway, demand);
         let again = Verdict::Granted(self.granted[&ticket]);
         for decision in self.scheduler.take_decisions() {
             let is_same = decision.verdict == again;
@@ -268,7 +270,7 @@
         let waiting = self.reachable(self.waiting.keys().copied());
         if let Some(ticket) = self.pick(waiting) {
             self.waiting.remove(&ticket);
-            self.report_end(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Abandoned);
         }
     }
 
@@ -281,7 +283,7 @@
         };
         if !self.waiting.contains_key(&ticket) && !self.granted.contains_key(&ticket) {
             self.reported.remove(&ticket);
-            self.report_end(ticket, CallEnd::Broken);
+            self.report_end(ticket, CallEnd::Disconnected);
         }
     }
 
@@ -315,10 +317,11 @@
         let running = reported.map(|(ticket, engine)| RunningCall {
             number: ticket.number,
             engine: *engine,
-            for_ms: 500,
+            running_ms: 500,
         });
         let running: Vec<_> = running.collect();
-        self.scheduler.set_running(self.clock(), gateway, &running);
+        self.scheduler
+            .report_running(self.clock(), gateway, &running);
     }
 
     fn step(&mut self) {
@@ -368,7 +371,7 @@
                 since_ms < ABANDONED_CALL_TIMEOUT_MS,
                 "{decision:?}, last requested {since_ms} ms ago"
             );
-            self.report_end(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Abandoned);
             return;
         }
         let waiting = self.waiting.remove(&ticket);
@@ -429,14 +432,14 @@
     /// Ends all calls, stops all requests, and advances the time.
     fn expire_everything(&mut self) {
         for ticket in std::mem::take(&mut self.waiting).into_keys() {
-            self.report_end(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Abandoned);
         }
         let granted = std::mem::take(&mut self.granted);
         for ticket in granted
             .into_keys()
             .chain(std::mem::take(&mut self.reported).into_keys())
         {
-            self.report_end(ticket, CallEnd::Given);
+            self.report_end(ticket, CallEnd::Abandoned);
         }
         self.silent_until.clear();
         for _ in 0..600 {
--- a/crates/courseshed-pool/tests/lost_engines.rs
+++ b/crates/courseshed-pool/tests/lost_engines.rs
@@ -11,7 +11,7 @@
 const LOST_ENGINES: std::ops::Range<usize> = 0..11;
 
 fn is_disconnected(record: &CallRecord) -> bool {
-    record.outcome == CallOutcome::Ended(CallEnd::Broken)
+    record.outcome == CallOutcome::Ended(CallEnd::Disconnected)
 }
 
 fn run_with_lost_engines(seed: u64) -> Simulation {
--- a/crates/courseshed-pool/tests/support/engine.rs
+++ b/crates/courseshed-pool/tests/support/engine.rs
@@ -68,7 +68,7 @@
     /// Accepts a call, or returns how it failed.
     pub(super) fn accept(&mut self, now: u64, job: Job) -> Option<CallEnd> {
         match self.health {
-            EngineHealth::Unreachable => return Some(CallEnd::Broken),
+            EngineHealth::Unreachable => return Some(CallEnd::Disconnected),
             EngineHealth::Failing => return Some(CallEnd::Failed),
             EngineHealth::Healthy => {}
         }
@@ -166,7 +166,7 @@
 }
 
 fn completed_end(now: u64, job: &Job) -> CallEnd {
-    CallEnd::Whole {
+    CallEnd::Completed {
         generated: job.output_tokens as u32,
         first_tokens: 1,
         first_part_ms: (job.first_token_ms.unwrap_or(now) - job.sent_ms) as u32 + 1,
--- a/crates/courseshed-pool/tests/support/mod.rs
+++ b/crates/courseshed-pool/tests/support/mod.rs
@@ -11,8 +11,8 @@
 use std::{collections::BTreeMap, ops::Range, time::Duration};
 
 use courseshed_pool::{
-    CallDemand, CallEnd, CallNote, Decision, EngineListing, PoolScheduler, RunningCall, Ticket,
-    Verdict,
+    CallDemand, CallEnd, CallEndReport, Decision, EngineListing, PoolScheduler, RunningCall,
+    Ticket, Verdict,
 };
 use courseshed_types::{CachedPrompt, NodeId};
 use rand::{RngExt, SeedableRng};
@@ -164,7 +164,7 @@
                 let jobs = engine.running.drain(..).chain(engine.queue.drain(..));
                 let broken: Vec<Ticket> = jobs.map(|job| job.ticket).collect();
                 for ticket in broken {
-                    self.after(1, Event::Ended(ticket, CallEnd::Broken));
+                    self.after(1, Event::Ended(ticket, CallEnd::Disconnected));
                 }
             }
         }
@@ -184,7 +184,7 @@
         let clock = self.clock();
         for gateway in self.gateways.clone() {
             let running = self.running_calls(gateway);
-            self.scheduler.set_running(clock, gateway, &running);
+            self.scheduler.report_running(clock, gateway, &running);
         }
     }
 
@@ -194,7 +194,7 @@
             Some(RunningCall {
                 number: ticket.number,
                 engine: self.engines[index].key,
-                for_ms: (self.now - since_ms) as u32,
+                running_ms: (self.now - since_ms) as u32,
             })
         };
         let of_gateway = self
@@ -254,7 +254,7 @@
         match event {
             Event::TurnStarts(program) => self.start_turn(program),
             Event::Asked(ticket, demand) => {
-                self.scheduler.ask(self.clock(), ticket.gateway, demand);
+                self.scheduler.request(self.clock(), ticket.gateway, demand);
             }
             Event::AskAgain(ticket) => {
                 if self
@@ -269,13 +269,16 @@
             Event::Sent(ticket) => self.deliver_call(ticket),
             Event::Ended(ticket, end) => self.end_call(ticket, CallOutcome::Ended(end)),
             Event::Noted(ticket, end) => {
-                let note = CallNote {
+                let note = CallEndReport {
                     number: ticket.number,
                     end,
                 };
-                self.scheduler.note(self.clock(), ticket.gateway, &[note]);
+                self.scheduler
+                    .report_ends(self.clock(), ticket.gateway, &[note]);
+            }
+            Event::Deadline(ticket) => {
+                self.end_call(ticket, CallOutcome::Ended(CallEnd::Abandoned))
             }
-            Event::Deadline(ticket) => self.end_call(ticket, CallOutcome::Ended(CallEnd::Given)),
         }
     }
 
@@ -336,7 +339,7 @@
     fn handle_decision(&mut self, decision: Decision) {
         let ticket = decision.ticket;
         let Some(call) = self.calls.get_mut(&ticket) else {
-            self.after(1, Event::Noted(ticket, CallEnd::Given));
+            self.after(1, Event::Noted(ticket, CallEnd::Abandoned));
             return;
         };
         match decision.verdict {
@@ -418,7 +421,7 @@
             outcome,
         });
         match outcome {
-            CallOutcome::Ended(CallEnd::Whole { generated, .. }) => {
+            CallOutcome::Ended(CallEnd::Completed { generated, .. }) => {
                 self.complete_turn(program, generated, engine.expect("an engine that answered"));
             }
             _ => self.retry_turn(program, engine, retry_after_ms),
@@ -497,7 +500,10 @@
     /// Number of turns completed in the period.
     pub fn completed_turns(&self, period_ms: Range<u64>) -> usize {
         self.count_calls(period_ms, |record| {
-            matches!(record.outcome, CallOutcome::Ended(CallEnd::Whole { .. }))
+            matches!(
+                record.outcome,
+                CallOutcome::Ended(CallEnd::Completed { .. })
+            )
         })
     }
 }
--- a/crates/courseshed-pool/tests/support/program.rs
+++ b/crates/courseshed-pool/tests/support/program.rs
@@ -2,7 +2,7 @@
 
 use std::ops::Range;
 
-use courseshed_pool::{CallDemand, NameKey, ProgramStanding};
+use courseshed_pool::{CallDemand, NameHash, ProgramContext};
 use courseshed_types::{CachedPrompt, NodeId, PromptPart, ServerKey};
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -10,7 +10,7 @@
 use super::engine::{MS_PER_TOKEN, PREFILL_TOKENS_PER_MS, SHARED_TOKENS};
 
 /// Zone of all gateways and engines.
-pub(super) const ZONE: NameKey = NameKey(1);
+pub(super) const ZONE: NameHash = NameHash(1);
 
 /// Parameters of a stream of programs.
 #[derive(Clone, Debug)]
@@ -125,16 +125,16 @@
 
     /// Request for the current turn; the gateway fills in the number and the times.
     pub(super) fn demand(&self, now: u64, number: usize) -> CallDemand {
-        let standing = ProgramStanding {
-            program: NameKey(number as u64),
-            left_ms: Some(self.target_ms.saturating_sub(now) as u32),
-            turns_budgeted: Some(1.5 * self.turns.len() as f32),
+        let standing = ProgramContext {
+            program: NameHash(number as u64),
+            time_left_ms: Some(self.target_ms.saturating_sub(now) as u32),
+            budgeted_turns: Some(1.5 * self.turns.len() as f32),
         };
         CallDemand {
             number: 0,
-            route: NameKey(self.kind.rank.into()),
+            route: NameHash(self.kind.rank.into()),
             rank: self.kind.rank,
-            tenant: Some(NameKey(self.kind.tenant)),
+            tenant: Some(NameHash(self.kind.tenant)),
             tenant_weight: 1.0,
             program: Some(standing),
             zone: ZONE,
--- a/crates/courseshed-pool/tests/tenants.rs
+++ b/crates/courseshed-pool/tests/tenants.rs
@@ -22,7 +22,7 @@
         simulation.programs[record.program].kind.tenant == tenant
             && matches!(
                 record.outcome,
-                support::CallOutcome::Ended(courseshed_pool::CallEnd::Whole { .. })
+                support::CallOutcome::Ended(courseshed_pool::CallEnd::Completed { .. })
             )
     })
 }
--- a/crates/courseshed-quota/src/holder.rs
+++ b/crates/courseshed-quota/src/holder.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use crate::{LEASE, QuotaAnswer, QuotaReport, QuotaTerms, TenantGrant, TenantUse};
+use crate::{LEASE, QuotaAnswer, QuotaPolicy, QuotaReport, TenantGrant, TenantUse};
 
 /// Calls of new programs get a permit while less than this part of the tenant's permits is in use,
 /// in thousandths. The rest is reserved for programs under way, which lose their work if they are
@@ -34,7 +34,7 @@
     /// The gateway has no free permit; the owner may grant some.
     Here,
     /// The tenant is near its limit, and the remaining permits are reserved for programs under way.
-    KeptForOthers,
+    ReservedForRunning,
 }
 
 #[derive(Debug, Default)]
@@ -83,7 +83,7 @@
 /// Permits of one gateway.
 #[derive(Debug)]
 pub struct QuotaHolder {
-    terms: QuotaTerms,
+    terms: QuotaPolicy,
     incarnation: u64,
     started_at: Duration,
     sequence: u64,
@@ -103,7 +103,7 @@
 impl QuotaHolder {
     /// Creates a holder without permits for a process that starts now.
     #[must_use]
-    pub fn new(terms: QuotaTerms, incarnation: u64, now: Duration) -> Self {
+    pub fn new(terms: QuotaPolicy, incarnation: u64, now: Duration) -> Self {
         Self {
             terms,
             incarnation,
@@ -135,7 +135,7 @@
         };
         entry.expire_sends(now, occupancy);
         if standing == Standing::New && entry.is_reserved_for_running(now) {
-            return Err(Shortage::KeptForOthers);
+            return Err(Shortage::ReservedForRunning);
         }
         if !is_leased || entry.used() >= entry.permits {
             return Err(Shortage::Here);
@@ -192,7 +192,7 @@
     /// more: false while other gateways have unused permits, or while a higher ceiling is being
     /// committed.
     #[must_use]
-    pub fn is_taken_everywhere(&self, tenant: &str) -> bool {
+    pub fn is_exhausted(&self, tenant: &str) -> bool {
         let entry = self.tenants.get(tenant);
         entry
             .is_some_and(|entry| !entry.is_pending && entry.occupied_permille >= EXHAUSTED_PERMILLE)
--- a/crates/courseshed-quota/src/lib.rs
+++ b/crates/courseshed-quota/src/lib.rs
@@ -20,4 +20,4 @@
 pub use holder::{QuotaHolder, Shortage, Standing};
 pub use message::{Ceiling, OwnerBounds, QuotaAnswer, QuotaReport, TenantGrant, TenantUse};
 pub use owner::{InjectedFault, QuotaOwner};
-pub use terms::{LEASE, QuotaTerms};
+pub use terms::{LEASE, QuotaPolicy};
--- a/crates/courseshed-quota/src/owner.rs
+++ b/crates/courseshed-quota/src/owner.rs
@@ -13,7 +13,7 @@
 use courseshed_types::NodeId;
 
 use crate::{
-    Ceiling, LEASE, OwnerBounds, QuotaAnswer, QuotaReport, QuotaTerms, TenantGrant, TenantUse,
+    Ceiling, LEASE, OwnerBounds, QuotaAnswer, QuotaPolicy, QuotaReport, TenantGrant, TenantUse,
 };
 
 /// Permits granted beyond a gateway's need, in addition to the fraction of its need.
@@ -87,7 +87,7 @@
 /// Permits of all tenants during one term of the controllers' leader.
 #[derive(Debug)]
 pub struct QuotaOwner {
-    terms: QuotaTerms,
+    terms: QuotaPolicy,
     epoch: u64,
     recovered_at: Duration,
     ceilings: BTreeMap<String, u32>,
@@ -109,7 +109,7 @@
 impl QuotaOwner {
     /// Creates an owner that starts now, with the bounds committed by its predecessors.
     #[must_use]
-    pub fn new(terms: QuotaTerms, epoch: u64, now: Duration, bounds: OwnerBounds) -> Self {
+    pub fn new(terms: QuotaPolicy, epoch: u64, now: Duration, bounds: OwnerBounds) -> Self {
         let ceilings: BTreeMap<String, u32> = bounds
             .ceilings
             .into_iter()
@@ -164,7 +164,7 @@
     /// ceiling is lowered, in favour of the next owner, if the peak of outstanding permits since
     /// the last call fits under a lower one. Lowered ceilings take effect immediately.
     #[must_use]
-    pub fn bounds_due<'a>(
+    pub fn due_bounds<'a>(
         &mut self,
         now: Duration,
         tenants: impl IntoIterator<Item = (&'a str, u32)>,
--- a/crates/courseshed-quota/src/terms.rs
+++ b/crates/courseshed-quota/src/terms.rs
@@ -14,7 +14,7 @@
 
 /// Limits of a tenant's request rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct QuotaTerms {
+pub struct QuotaPolicy {
     /// Length of the sliding window.
     pub window: Duration,
     /// Fraction of the limit by which a window may exceed it.
@@ -23,7 +23,7 @@
     pub slack: f64,
 }
 
-impl Default for QuotaTerms {
+impl Default for QuotaPolicy {
     /// A window of 5 s that may exceed the limit by 10 % and 20 requests.
     fn default() -> Self {
         Self {
@@ -34,7 +34,7 @@
     }
 }
 
-impl QuotaTerms {
+impl QuotaPolicy {
     /// Permits of a tenant: the maximum number of requests in any window.
     #[must_use]
     pub fn permits(&self, quota: &RequestQuota) -> u32 {
--- a/crates/courseshed-quota/tests/simulation.rs
+++ b/crates/courseshed-quota/tests/simulation.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use courseshed_quota::{
-    Ceiling, InjectedFault, OwnerBounds, QuotaAnswer, QuotaHolder, QuotaOwner, QuotaReport,
-    QuotaTerms, Standing,
+    Ceiling, InjectedFault, OwnerBounds, QuotaAnswer, QuotaHolder, QuotaOwner, QuotaPolicy,
+    QuotaReport, Standing,
 };
 use courseshed_routing::RequestQuota;
 use courseshed_types::NodeId;
@@ -16,7 +16,7 @@
 use rand_chacha::ChaCha8Rng;
 use yare::parameterized;
 
-const TERMS: QuotaTerms = QuotaTerms {
+const TERMS: QuotaPolicy = QuotaPolicy {
     window: Duration::from_secs(5),
     overshoot: 0.1,
     slack: 20.0,
@@ -282,7 +282,7 @@
             .iter()
             .map(|(name, ..)| (*name, permits_of(name).unwrap_or(0)));
         if let Some(owner) = &mut self.owner {
-            let bounds = owner.bounds_due(now, tenants);
+            let bounds = owner.due_bounds(now, tenants);
             self.commit(bounds);
         }
     }
--- a/crates/courseshed-registry/src/state.rs
+++ b/crates/courseshed-registry/src/state.rs
@@ -8,7 +8,7 @@
 use courseshed_consensus::{LogIndex, RestoreError, StateMachine};
 use courseshed_quota::{Ceiling, OwnerBounds};
 use courseshed_records::{PartitionMap, StoreMachine, ViewChange};
-use courseshed_routing::{PartsTaken, Service, TablePart, VersionedTable};
+use courseshed_routing::{Service, TablePart, TransferProgress, VersionedTable};
 use courseshed_types::NodeId;
 use imbl::Vector;
 use serde::{Deserialize, Serialize};
@@ -75,7 +75,7 @@
     pub takes_parts: bool,
     /// The parts received of a newer routing table.
     #[serde(default)]
-    pub parts: Option<PartsTaken>,
+    pub parts: Option<TransferProgress>,
     /// Revision up to which changes of servers were sent, see [`ServerListRevision`].
     pub servers: u64,
     /// Revision up to which removals of servers were sent.
@@ -262,7 +262,7 @@
     fn limits_cold_servers(&self, service: &str) -> bool {
         let table = self.routing.as_ref().map(|routing| &routing.table.table);
         let service = table.and_then(|table| table.service(service));
-        service.is_some_and(Service::bounds_cold_servers)
+        service.is_some_and(Service::limits_warm_up)
     }
 
     /// Whether a later incarnation of the server is or was known, so that this one has ended.
--- a/crates/courseshed-registry/tests/answer_size.rs
+++ b/crates/courseshed-registry/tests/answer_size.rs
@@ -38,19 +38,19 @@
         path_prefix: format!("/prefix-{number:06}/"),
         kind: CallKind::Stream,
         timeout_ms: 30_000,
-        aim_ms: 200,
+        latency_target_ms: 200,
         priority: 1,
         targets: vec![Target {
             service: "engines-of-a-service".to_owned(),
             weight: 1.0,
         }],
         max_attempts: 2,
-        keeps_turns: true,
+        stores_turns: true,
         retention_ms: 60_000,
         affinity: true,
         resumable: true,
         is_public: false,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
--- a/crates/courseshed-registry/tests/state.rs
+++ b/crates/courseshed-registry/tests/state.rs
@@ -260,7 +260,7 @@
             name: "s".to_owned(),
             connection_limit: 10,
             engine: None,
-            cold_per_s,
+            warm_up_rate_per_s: cold_per_s,
         }],
         ..RoutingTable::default()
     };
--- a/crates/courseshed-routing/src/home.rs
+++ b/crates/courseshed-routing/src/home.rs
@@ -6,20 +6,20 @@
 
 /// Regions allowed by both the route and the tenant of a call.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct HomeRegions {
+pub struct AllowedRegions {
     /// Allowed regions; none without a restriction.
     allowed: Option<BTreeSet<String>>,
 }
 
-impl HomeRegions {
+impl AllowedRegions {
     /// No restriction.
     pub const ANY: Self = Self { allowed: None };
 
     /// Returns the regions allowed for a tenant's calls of a route.
     #[must_use]
     pub fn of(route: &Route, tenant: Option<&Tenant>) -> Self {
-        let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.home_regions);
-        let lists = [&route.home_regions[..], of_tenant];
+        let of_tenant = tenant.map_or(&[][..], |tenant| &tenant.allowed_regions);
+        let lists = [&route.allowed_regions[..], of_tenant];
         let restrictions = lists.into_iter().filter(|list| !list.is_empty());
         let allowed = restrictions
             .map(|list| list.iter().cloned().collect::<BTreeSet<_>>())
@@ -48,11 +48,11 @@
 impl RoutingTable {
     /// Whether any route or tenant is restricted to regions.
     #[must_use]
-    pub fn has_home_regions(&self) -> bool {
+    pub fn has_region_restrictions(&self) -> bool {
         let mut tenants = self.tenants.iter().flatten();
         self.routes
             .iter()
-            .any(|route| !route.home_regions.is_empty())
-            || tenants.any(|tenant| !tenant.home_regions.is_empty())
+            .any(|route| !route.allowed_regions.is_empty())
+            || tenants.any(|tenant| !tenant.allowed_regions.is_empty())
     }
 }
--- a/crates/courseshed-routing/src/lib.rs
+++ b/crates/courseshed-routing/src/lib.rs
@@ -13,12 +13,12 @@
 mod tenant;
 
 pub use check::TableError;
-pub use home::HomeRegions;
+pub use home::AllowedRegions;
 pub use parts::{
-    MAX_PART_ITEMS, PartsTaken, RecentTables, RouteKey, TableAssembler, TableChange, TableGlobals,
-    TablePart,
+    MAX_PART_ITEMS, RecentTables, RouteKey, TableAssembler, TableChange, TableGlobals, TablePart,
+    TransferProgress,
 };
-pub use split::SplitCounter;
+pub use split::WeightedRoundRobin;
 pub use table::{
     CallKind, CallLimits, EngineLimits, Route, RoutingTable, Service, Target, VersionedTable,
 };
--- a/crates/courseshed-routing/src/parts/assembler.rs
+++ b/crates/courseshed-routing/src/parts/assembler.rs
@@ -3,7 +3,7 @@
 use std::collections::{HashMap, HashSet};
 use std::sync::Arc;
 
-use super::{Keyed, PartsTaken, TableChange, TableGlobals, TablePart};
+use super::{Keyed, TableChange, TableGlobals, TablePart, TransferProgress};
 use crate::{RoutingTable, VersionedTable};
 
 /// Assembles a table version from its parts.
@@ -22,8 +22,8 @@
 impl TableAssembler {
     /// Progress of the version that is being received.
     #[must_use]
-    pub fn taken(&self) -> Option<PartsTaken> {
-        self.partial.as_ref().map(|partial| PartsTaken {
+    pub fn progress(&self) -> Option<TransferProgress> {
+        self.partial.as_ref().map(|partial| TransferProgress {
             base: partial.base,
             version: partial.version,
             items: partial.items.len() as u32,
@@ -33,7 +33,7 @@
     /// Adds a part, and returns the version once it is complete. A part that does not continue the
     /// previous one, or does not apply to the held version, is dropped together with all previous
     /// parts; the next request then starts over.
-    pub fn take(
+    pub fn add_part(
         &mut self,
         held: Option<&VersionedTable>,
         part: TablePart,
--- a/crates/courseshed-routing/src/parts/mod.rs
+++ b/crates/courseshed-routing/src/parts/mod.rs
@@ -80,7 +80,7 @@
 
 /// A follower's progress in receiving the parts of a version.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PartsTaken {
+pub struct TransferProgress {
     /// The version that the changes apply to; none for an empty table.
     pub base: Option<u64>,
     /// The version that results from all parts.
--- a/crates/courseshed-routing/src/parts/recent.rs
+++ b/crates/courseshed-routing/src/parts/recent.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::delta::TableDelta;
-use super::{Keyed, PartsTaken, TablePart, is_equal};
+use super::{Keyed, TablePart, TransferProgress, is_equal};
 use crate::VersionedTable;
 
 /// Number of versions kept as bases for differences. Followers with an older version receive the
@@ -37,7 +37,11 @@
 
     /// Next part for a follower that holds a version and may have received parts of a later one;
     /// none if nothing is newer.
-    pub fn part_for(&mut self, held: Option<u64>, taken: Option<PartsTaken>) -> Option<TablePart> {
+    pub fn part_for(
+        &mut self,
+        held: Option<u64>,
+        taken: Option<TransferProgress>,
+    ) -> Option<TablePart> {
         if let Some(taken) = taken
             && let Some(delta) = self.delta(taken.base, taken.version)
         {
--- a/crates/courseshed-routing/src/split.rs
+++ b/crates/courseshed-routing/src/split.rs
@@ -10,11 +10,11 @@
 /// Each call adds every target's weight to its credit. The target with the largest credit receives
 /// the call, and the sum of all weights is deducted from its credit.
 #[derive(Clone, Debug, Default)]
-pub struct SplitCounter {
+pub struct WeightedRoundRobin {
     credits: BTreeMap<String, f64>,
 }
 
-impl SplitCounter {
+impl WeightedRoundRobin {
     /// Starts at a phase from 0 to 1, so that gateways don't all begin with the same target.
     #[must_use]
     pub fn with_phase(targets: &[Target], phase: f64) -> Self {
--- a/crates/courseshed-routing/src/table.rs
+++ b/crates/courseshed-routing/src/table.rs
@@ -40,7 +40,8 @@
     /// Maximum duration of a call, in milliseconds.
     pub timeout_ms: u64,
     /// Target latency in milliseconds; for streams, of the first event.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub latency_target_ms: u64,
     /// Rank of the calls; 0 is the most urgent.
     pub priority: u32,
     /// Weighted target services.
@@ -48,7 +49,8 @@
     /// Maximum number of servers that a request may be sent to.
     pub max_attempts: u32,
     /// Whether turns are stored, so that later turns only send what is new.
-    pub keeps_turns: bool,
+    #[serde(rename = "keeps_turns")]
+    pub stores_turns: bool,
     /// Retention of turns and programs after their last use, in milliseconds.
     pub retention_ms: u64,
     /// Whether servers are faster if they have recently seen the same content.
@@ -60,7 +62,8 @@
     pub is_public: bool,
     /// Regions in which calls may be served and their data stored; empty without a restriction.
     #[serde(default)]
-    pub home_regions: Vec<String>,
+    #[serde(rename = "home_regions")]
+    pub allowed_regions: Vec<String>,
 }
 
 impl Route {
@@ -98,14 +101,15 @@
     pub engine: Option<EngineLimits>,
     /// Maximum request rate of a server during warm-up, over all callers; none if unlimited.
     #[serde(default)]
-    pub cold_per_s: Option<f64>,
+    #[serde(rename = "cold_per_s")]
+    pub warm_up_rate_per_s: Option<f64>,
 }
 
 impl Service {
     /// Whether the request rate of servers is limited during warm-up.
     #[must_use]
-    pub fn bounds_cold_servers(&self) -> bool {
-        self.cold_per_s.is_some()
+    pub fn limits_warm_up(&self) -> bool {
+        self.warm_up_rate_per_s.is_some()
     }
 }
 
--- a/crates/courseshed-routing/src/tenant.rs
+++ b/crates/courseshed-routing/src/tenant.rs
@@ -50,7 +50,8 @@
     pub quota: Option<RequestQuota>,
     /// Regions in which calls may be served and their data stored; empty without a restriction.
     #[serde(default)]
-    pub home_regions: Vec<String>,
+    #[serde(rename = "home_regions")]
+    pub allowed_regions: Vec<String>,
 }
 
 impl RoutingTable {
--- a/crates/courseshed-routing/tests/parts.rs
+++ b/crates/courseshed-routing/tests/parts.rs
@@ -7,8 +7,8 @@
 use std::sync::Arc;
 
 use courseshed_routing::{
-    KeyDigest, MAX_PART_ITEMS, PartsTaken, RecentTables, Route, RoutingTable, Service,
-    TableAssembler, Tenant, VersionedTable,
+    KeyDigest, MAX_PART_ITEMS, RecentTables, Route, RoutingTable, Service, TableAssembler, Tenant,
+    TransferProgress, VersionedTable,
 };
 use rand_chacha::ChaCha8Rng;
 use rand_chacha::rand_core::{Rng, SeedableRng};
@@ -27,7 +27,7 @@
         keys: vec![KeyDigest::of(&key.to_le_bytes())],
         priority: None,
         quota: None,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     })
 }
 
@@ -60,7 +60,7 @@
                     name: "s".to_owned(),
                     connection_limit: self.version as u32,
                     engine: None,
-                    cold_per_s: None,
+                    warm_up_rate_per_s: None,
                 }],
                 limits: Default::default(),
                 tenants: tenants.map(|tenants| tenants.values().cloned().collect()),
@@ -127,11 +127,11 @@
     /// Requests one part; returns false if nothing is newer.
     fn request_part(&mut self, controller: &mut RecentTables) -> bool {
         let held = self.held.as_ref().map(|held| held.version);
-        let Some(part) = controller.part_for(held, self.assembler.taken()) else {
+        let Some(part) = controller.part_for(held, self.assembler.progress()) else {
             return false;
         };
         assert!(part.items.len() <= MAX_PART_ITEMS);
-        if let Some(whole) = self.assembler.take(self.held.as_ref(), part) {
+        if let Some(whole) = self.assembler.add_part(self.held.as_ref(), part) {
             assert!(Some(whole.version) > held);
             self.held = Some(whole);
         }
@@ -253,7 +253,7 @@
     let mut plan = TablePlan::with_routes(3, 300);
     controller.push(&plan.table());
     let first = controller.part_for(None, None).expect("a part");
-    let taken = |items| PartsTaken {
+    let taken = |items| TransferProgress {
         base: None,
         version: 3,
         items,
@@ -262,23 +262,23 @@
         .part_for(None, Some(taken(MAX_PART_ITEMS as u32)))
         .expect("a part");
     let mut assembler = TableAssembler::default();
-    assert_eq!(assembler.take(None, second.clone()), None);
-    assert_eq!(assembler.taken(), None);
-    assert_eq!(assembler.take(None, first.clone()), None);
-    assert_eq!(assembler.take(None, first), None, "duplicate part");
-    assert_eq!(assembler.taken(), Some(taken(MAX_PART_ITEMS as u32)));
-    assert_eq!(assembler.take(None, second.clone()), None);
-    assert_eq!(assembler.take(None, second), None, "duplicate part");
-    assert_eq!(assembler.taken(), None);
+    assert_eq!(assembler.add_part(None, second.clone()), None);
+    assert_eq!(assembler.progress(), None);
+    assert_eq!(assembler.add_part(None, first.clone()), None);
+    assert_eq!(assembler.add_part(None, first), None, "duplicate part");
+    assert_eq!(assembler.progress(), Some(taken(MAX_PART_ITEMS as u32)));
+    assert_eq!(assembler.add_part(None, second.clone()), None);
+    assert_eq!(assembler.add_part(None, second), None, "duplicate part");
+    assert_eq!(assembler.progress(), None);
     plan.version = 4;
     controller.push(&plan.table());
     let of_three = controller.part_for(Some(3), None).expect("a part");
     let held = TablePlan::with_routes(2, 1).table();
-    assert_eq!(assembler.take(Some(&held), of_three), None);
+    assert_eq!(assembler.add_part(Some(&held), of_three), None);
     let newer = TablePlan::with_routes(5, 1).table();
     let older = controller.part_for(None, None).expect("a part");
-    assert_eq!(assembler.take(Some(&newer), older), None);
-    assert_eq!(assembler.taken(), None);
+    assert_eq!(assembler.add_part(Some(&newer), older), None);
+    assert_eq!(assembler.progress(), None);
 }
 
 /// A controller that no longer has the version of the received parts starts over with the newest.
@@ -286,7 +286,7 @@
 fn transfers_of_forgotten_versions_start_over() {
     let mut controller = RecentTables::default();
     controller.push(&TablePlan::with_routes(9, 300).table());
-    let taken = PartsTaken {
+    let taken = TransferProgress {
         base: None,
         version: 8,
         items: 128,
--- a/crates/courseshed-routing/tests/support/mod.rs
+++ b/crates/courseshed-routing/tests/support/mod.rs
@@ -12,16 +12,16 @@
         path_prefix: prefix.to_owned(),
         kind: CallKind::Repeatable,
         timeout_ms: 1000,
-        aim_ms: 100,
+        latency_target_ms: 100,
         priority: 0,
         targets: vec![target("s", 1.0)],
         max_attempts: 1,
-        keeps_turns: false,
+        stores_turns: false,
         retention_ms: 0,
         affinity: false,
         resumable: false,
         is_public: false,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
--- a/crates/courseshed-routing/tests/table.rs
+++ b/crates/courseshed-routing/tests/table.rs
@@ -5,8 +5,8 @@
 use std::sync::Arc;
 
 use courseshed_routing::{
-    HomeRegions, KeyDigest, RequestQuota, Route, RoutingTable, Service, SplitCounter, TableError,
-    Tenant,
+    AllowedRegions, KeyDigest, RequestQuota, Route, RoutingTable, Service, TableError, Tenant,
+    WeightedRoundRobin,
 };
 use support::{route, target};
 use yare::parameterized;
@@ -15,7 +15,7 @@
     RoutingTable {
         routes: routes.into_iter().map(Arc::new).collect(),
         services: vec![Service {
-            cold_per_s: None,
+            warm_up_rate_per_s: None,
             name: "s".to_owned(),
             connection_limit: 10,
             engine: None,
@@ -60,7 +60,7 @@
 fn each_target_gets_its_weight_within_one_call() {
     let targets = [target("a", 90.0), target("b", 10.0)];
     for phase in [0.0, 0.5, 0.95] {
-        let mut counter = SplitCounter::with_phase(&targets, phase);
+        let mut counter = WeightedRoundRobin::with_phase(&targets, phase);
         let mut counts = [0u32; 2];
         for _ in 0..200 {
             counts[counter.next(&targets).expect("a target")] += 1;
@@ -78,7 +78,7 @@
             .collect(),
         priority: None,
         quota: None,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     }
 }
 
@@ -143,14 +143,14 @@
 ) {
     let names = |regions: &[&str]| regions.iter().map(|region| (*region).to_owned()).collect();
     let route = Route {
-        home_regions: names(of_route),
+        allowed_regions: names(of_route),
         ..route("r", "/a/")
     };
     let tenant = Tenant {
-        home_regions: names(of_tenant),
+        allowed_regions: names(of_tenant),
         ..tenant("t", &["k"])
     };
-    let homes = HomeRegions::of(&route, Some(&tenant));
+    let homes = AllowedRegions::of(&route, Some(&tenant));
     for region in ["north", "south", "east"] {
         let expected = allowed.contains(&region) || allows_unknown;
         assert_eq!(homes.allows(Some(region)), expected, "{region}");
--- a/crates/courseshed-soak/src/node.rs
+++ b/crates/courseshed-soak/src/node.rs
@@ -12,13 +12,15 @@
 use argh::FromArgs;
 use bytes::Bytes;
 use courseshed_edge::controller::{self, ControllerHandle, ControllerSettings, LossTerms};
-use courseshed_edge::gateway::{self, GatewaySettings, HeldTerms, Policy, ShortCodec, TenantTerms};
+use courseshed_edge::gateway::{
+    self, GatewaySettings, MemoryLimits, Policy, ShortCodec, TenantSettings,
+};
 use courseshed_edge::http::{HttpTiming, listen, read_body, serve};
 use courseshed_edge::metrics::Metrics;
 use courseshed_edge::protocol::{PeerAddresses, node_at};
 use courseshed_edge::records::{self, StoreLimits, StoreSettings};
 use courseshed_edge::{logging, signals};
-use courseshed_quota::QuotaTerms;
+use courseshed_quota::QuotaPolicy;
 
 /// Lost disks that the fleet bears at once.
 const DISKS_BORNE: usize = 1;
@@ -168,10 +170,10 @@
         metrics: Arc::new(Metrics::new()),
         codec: Box::new(ShortCodec),
         policy: Policy::default(),
-        tenants: TenantTerms::default(),
-        memory: HeldTerms::for_machine(GATEWAY_MEMORY),
+        tenants: TenantSettings::default(),
+        memory: MemoryLimits::for_machine(GATEWAY_MEMORY),
     };
-    let run = gateway::run(settings, signals::stop_asked(), GRACE);
+    let run = gateway::run(settings, signals::shutdown_signal(), GRACE);
     run.await.map_err(|error| error.to_string())
 }
 
@@ -189,7 +191,7 @@
         metrics: Arc::new(Metrics::new()),
     })
     .map_err(|error| error.to_string())?;
-    signals::stop_asked().await;
+    signals::shutdown_signal().await;
     Ok(())
 }
 
@@ -209,7 +211,7 @@
             disks: DISKS_BORNE,
             ..LossTerms::default()
         },
-        quota: QuotaTerms::default(),
+        quota: QuotaPolicy::default(),
         metrics: Arc::new(Metrics::new()),
         disk_faults: Default::default(),
     })
@@ -220,7 +222,7 @@
     actix_rt::spawn(serve(listener, HttpTiming::default, move |request| {
         answer_operator(answering.clone(), request)
     }));
-    signals::stop_asked().await;
+    signals::shutdown_signal().await;
     handle.hand_over();
     actix_rt::time::sleep(HAND_OVER_TIME).await;
     Ok(())
--- a/crates/courseshed-soak/src/run.rs
+++ b/crates/courseshed-soak/src/run.rs
@@ -402,19 +402,19 @@
         path_prefix: format!("/{name}/"),
         kind,
         timeout_ms: 5_000,
-        aim_ms: 200,
+        latency_target_ms: 200,
         priority: 0,
         targets: vec![Target {
             service: SERVICE.to_owned(),
             weight: 1.0,
         }],
         max_attempts,
-        keeps_turns,
+        stores_turns: keeps_turns,
         retention_ms: 60_000,
         affinity: keeps_turns,
         resumable: false,
         is_public: false,
-        home_regions: Vec::new(),
+        allowed_regions: Vec::new(),
     };
     let routes = [
         route("once", CallKind::AtMostOnce, 2, false),
@@ -426,7 +426,7 @@
         table: RoutingTable {
             routes: routes.into_iter().map(Arc::new).collect(),
             services: vec![Service {
-                cold_per_s: None,
+                warm_up_rate_per_s: None,
                 name: SERVICE.to_owned(),
                 connection_limit: 0,
                 engine: Some(EngineLimits {
