--- a/crates/courseshed-edge/src/controller/quotas.rs
+++ b/crates/courseshed-edge/src/controller/quotas.rs
@@ -85,7 +85,7 @@
         for (name, permits) in limited {
             let figures = PermitCounts {
                 permits: u64::from(permits),
-                out: quotas.owner.out(name),
+                out: quotas.owner.outstanding(name),
                 in_use: quotas.owner.in_use(name),
             };
             self.options.metrics.set_permits(name, figures);
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -12,7 +12,7 @@
 use actix_http::{ResponseHead, StatusCode};
 use bytes::{Buf, Bytes, BytesMut};
 use courseshed_pool::CallEnd;
-use courseshed_quota::Standing;
+use courseshed_quota::ProgramPhase;
 use courseshed_routing::{AllowedRegions, CallKind, Route};
 use courseshed_types::{CachedPrompt, PromptPart, ServerKey};
 use tokio::time::Instant;
@@ -152,7 +152,7 @@
     /// The regions in which the request may be served and its turn stored.
     pub homes: AllowedRegions,
     /// Whether the request is the first of a program.
-    pub standing: Standing,
+    pub standing: ProgramPhase,
     /// Memory held for the request.
     pub memory: RequestMemory,
     permit: Option<Permit>,
@@ -191,7 +191,7 @@
             parts: affinity_segments(&call, &route),
             homes: AllowedRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
-            standing: Standing::UnderWay,
+            standing: ProgramPhase::Running,
             memory,
             permit: None,
             version,
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -9,7 +9,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use courseshed_quota::{QuotaAnswer, QuotaHolder, QuotaPolicy, Shortage, Standing};
+use courseshed_quota::{ProgramPhase, QuotaAnswer, QuotaHolder, QuotaPolicy, Shortage};
 use courseshed_types::NodeId;
 use tokio::sync::{Notify, watch};
 use tokio::time::{Instant, timeout, timeout_at};
@@ -64,7 +64,7 @@
     pub(super) async fn acquire(
         core: &Rc<GatewayCore>,
         tenant: &str,
-        standing: Standing,
+        standing: ProgramPhase,
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let began = Instant::now();
@@ -86,7 +86,7 @@
     async fn wait_for_permit(
         core: &Rc<GatewayCore>,
         tenant: &str,
-        standing: Standing,
+        standing: ProgramPhase,
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let quotas = &core.quotas;
@@ -101,7 +101,7 @@
             match quotas.take(tenant, standing) {
                 Ok(()) => return Ok(Permit::new(core.clone(), tenant)),
                 Err(Shortage::ReservedForRunning) => return Err(quotas.over_quota(tenant)),
-                Err(Shortage::Here) => {}
+                Err(Shortage::NoLocalPermit) => {}
             }
             if answered >= ANSWERS_BEFORE_REFUSAL && quotas.is_exhausted(tenant) {
                 return Err(quotas.over_quota(tenant));
@@ -120,9 +120,9 @@
         }
     }
 
-    fn take(&self, tenant: &str, standing: Standing) -> Result<(), Shortage> {
+    fn take(&self, tenant: &str, standing: ProgramPhase) -> Result<(), Shortage> {
         let now = self.clock.now();
-        self.holder.borrow_mut().take(now, tenant, standing)
+        self.holder.borrow_mut().acquire(now, tenant, standing)
     }
 
     fn is_exhausted(&self, tenant: &str) -> bool {
@@ -191,7 +191,7 @@
     pub(super) fn release(self) {
         if let Some(sent_at) = self.sent_at {
             let mut holder = self.core.quotas.holder.borrow_mut();
-            holder.not_run(&self.tenant, sent_at);
+            holder.refund(&self.tenant, sent_at);
         }
     }
 }
@@ -199,7 +199,7 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         if self.sent_at.is_none() {
-            self.core.quotas.holder.borrow_mut().give_back(&self.tenant);
+            self.core.quotas.holder.borrow_mut().release(&self.tenant);
         }
     }
 }
@@ -249,7 +249,7 @@
                 }
             }
             other => {
-                quotas.holder.borrow_mut().give_up(sequence);
+                quotas.holder.borrow_mut().abandon_report(sequence);
                 leader = next_controller(&core, asked, other);
                 quotas.requested.notify_one();
             }
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -10,7 +10,7 @@
 use actix_http::{Response, StatusCode};
 use bytes::{Bytes, BytesMut};
 use courseshed_pool::CallEnd;
-use courseshed_quota::Standing;
+use courseshed_quota::ProgramPhase;
 use courseshed_records::PartitionId;
 use futures_util::stream;
 use snafu::Snafu;
@@ -77,7 +77,7 @@
         attempts.cached_prompts.extend(reservation.take_hints());
     }
     if reservation.as_ref().is_some_and(TokenReservation::is_first) {
-        attempts.standing = Standing::New;
+        attempts.standing = ProgramPhase::New;
     }
     let last_event = attempts.call.last_event;
     let opened = match attempts.open(last_event).await {
--- a/crates/courseshed-quota/src/holder.rs
+++ b/crates/courseshed-quota/src/holder.rs
@@ -21,18 +21,18 @@
 
 /// Whether a call starts a program or continues one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ProgramPhase {
     /// The call does not belong to a program that was served before.
     New,
     /// The call's program is under way.
-    UnderWay,
+    Running,
 }
 
 /// Why a call gets no permit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Shortage {
     /// The gateway has no free permit; the owner may grant some.
-    Here,
+    NoLocalPermit,
     /// The tenant is near its limit, and the remaining permits are reserved for programs under way.
     ReservedForRunning,
 }
@@ -122,23 +122,23 @@
     /// # Errors
     ///
     /// [`Shortage`] if no permit is available here.
-    pub fn take(
+    pub fn acquire(
         &mut self,
         now: Duration,
         tenant: &str,
-        standing: Standing,
+        standing: ProgramPhase,
     ) -> Result<(), Shortage> {
         let occupancy = self.terms.occupancy();
         let is_leased = now < self.lease_expires_at;
         let Some(entry) = self.tenants.get_mut(tenant) else {
-            return Err(Shortage::Here);
+            return Err(Shortage::NoLocalPermit);
         };
         entry.expire_sends(now, occupancy);
-        if standing == Standing::New && entry.is_reserved_for_running(now) {
+        if standing == ProgramPhase::New && entry.is_reserved_for_running(now) {
             return Err(Shortage::ReservedForRunning);
         }
         if !is_leased || entry.used() >= entry.permits {
-            return Err(Shortage::Here);
+            return Err(Shortage::NoLocalPermit);
         }
         entry.acquired += 1;
         Ok(())
@@ -161,14 +161,14 @@
     }
 
     /// Releases a permit acquired for a call that is not sent.
-    pub fn give_back(&mut self, tenant: &str) {
+    pub fn release(&mut self, tenant: &str) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
             entry.acquired = entry.acquired.saturating_sub(1);
         }
     }
 
     /// Releases the permit of a call that its server did not run.
-    pub fn not_run(&mut self, tenant: &str, sent_at: Duration) {
+    pub fn refund(&mut self, tenant: &str, sent_at: Duration) {
         if let Some(entry) = self.tenants.get_mut(tenant)
             && let Some(index) = entry.sent.iter().position(|sent| *sent == sent_at)
         {
@@ -299,7 +299,7 @@
 
     /// Abandons a report whose answer timed out. The next report is complete, as the owner may have
     /// granted permits that this gateway does not know of.
-    pub fn give_up(&mut self, sequence: u64) {
+    pub fn abandon_report(&mut self, sequence: u64) {
         if self
             .in_flight
             .is_some_and(|report| report.sequence == sequence)
--- a/crates/courseshed-quota/src/lib.rs
+++ b/crates/courseshed-quota/src/lib.rs
@@ -17,7 +17,7 @@
 mod owner;
 mod terms;
 
-pub use holder::{QuotaHolder, Shortage, Standing};
+pub use holder::{ProgramPhase, QuotaHolder, Shortage};
 pub use message::{Ceiling, OwnerBounds, QuotaAnswer, QuotaReport, TenantGrant, TenantUse};
 pub use owner::{InjectedFault, QuotaOwner};
 pub use terms::{LEASE, QuotaPolicy};
--- a/crates/courseshed-quota/src/owner.rs
+++ b/crates/courseshed-quota/src/owner.rs
@@ -256,7 +256,7 @@
 
     /// Outstanding permits of a tenant.
     #[must_use]
-    pub fn out(&self, tenant: &str) -> u64 {
+    pub fn outstanding(&self, tenant: &str) -> u64 {
         self.tenants
             .get(tenant)
             .map_or(0, TenantLedger::outstanding)
--- a/crates/courseshed-quota/tests/simulation.rs
+++ b/crates/courseshed-quota/tests/simulation.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use courseshed_quota::{
-    Ceiling, InjectedFault, OwnerBounds, QuotaAnswer, QuotaHolder, QuotaOwner, QuotaPolicy,
-    QuotaReport, Standing,
+    Ceiling, InjectedFault, OwnerBounds, ProgramPhase, QuotaAnswer, QuotaHolder, QuotaOwner,
+    QuotaPolicy, QuotaReport,
 };
 use courseshed_routing::RequestQuota;
 use courseshed_types::NodeId;
@@ -358,7 +358,11 @@
         let local = self.now + node.clock_offset;
         let incarnation = node.incarnation;
         let (name, ..) = TENANTS[tenant];
-        if node.holder.take(local, name, Standing::UnderWay).is_err() {
+        if node
+            .holder
+            .acquire(local, name, ProgramPhase::Running)
+            .is_err()
+        {
             return false;
         }
         let is_delayed = self.random.random_bool(0.02);
@@ -416,7 +420,7 @@
             } => {
                 let node = &mut self.gateways[gateway];
                 if node.incarnation == incarnation {
-                    node.holder.give_up(sequence);
+                    node.holder.abandon_report(sequence);
                 }
             }
             Event::Send {
