--- a/crates/courseshed-edge/src/gateway/memory_budget.rs
+++ b/crates/courseshed-edge/src/gateway/memory_budget.rs
@@ -38,7 +38,7 @@
     /// memory for active responses.
     pub admission_bytes: usize,
     /// How long a client may accept no data before it is disconnected.
-    pub read_stall: Duration,
+    pub stall_limit: Duration,
     /// The same limit under memory pressure.
     pub pressure_stall_limit: Duration,
 }
@@ -55,7 +55,7 @@
             total_bytes,
             connection_bytes: CONNECTION_BYTES,
             admission_bytes: total_bytes / 8 * 7,
-            read_stall: STALL_LIMIT,
+            stall_limit: STALL_LIMIT,
             pressure_stall_limit: PRESSURE_STALL_LIMIT,
         }
     }
@@ -221,7 +221,7 @@
     }
 
     fn stalled(&mut self, now: Duration) -> Vec<Disconnect> {
-        let limit = self.terms.read_stall;
+        let limit = self.terms.stall_limit;
         let connections = self.stalled_connections(now, DisconnectReason::Stall);
         let stalled: Vec<_> = connections
             .filter(|disconnect| disconnect.stalled_for >= limit)
--- a/crates/courseshed-edge/src/gateway/memory_tracker.rs
+++ b/crates/courseshed-edge/src/gateway/memory_tracker.rs
@@ -32,7 +32,7 @@
 pub(super) struct MemoryTracker {
     memory: RefCell<MemoryBudget>,
     connections: RefCell<HashMap<*const Connection, TrackedConnection>>,
-    read_stall: Duration,
+    stall_limit: Duration,
     clock: Clock,
     metrics: Arc<Metrics>,
 }
@@ -52,7 +52,7 @@
         Rc::new(Self {
             memory: RefCell::new(MemoryBudget::new(terms)),
             connections: RefCell::default(),
-            read_stall: terms.read_stall,
+            stall_limit: terms.stall_limit,
             clock: Clock::start(),
             metrics,
         })
@@ -177,7 +177,7 @@
         let mut payload = request.take_payload();
         let mut body = BytesMut::with_capacity(declared.min(INITIAL_BODY_CAPACITY));
         // A client that sends nothing for the stall limit is considered gone.
-        while let Some(chunk) = timeout(self.tracker.read_stall, payload.next())
+        while let Some(chunk) = timeout(self.tracker.stall_limit, payload.next())
             .await
             .map_err(|_| BodyError::Unreadable)?
         {
--- a/crates/courseshed-edge/tests/memory_budget.rs
+++ b/crates/courseshed-edge/tests/memory_budget.rs
@@ -8,7 +8,7 @@
     total_bytes: 1000,
     connection_bytes: 0,
     admission_bytes: 750,
-    read_stall: Duration::from_secs(10),
+    stall_limit: Duration::from_secs(10),
     pressure_stall_limit: Duration::from_secs(3),
 };
 
--- a/crates/courseshed-edge/tests/slow_readers.rs
+++ b/crates/courseshed-edge/tests/slow_readers.rs
@@ -159,7 +159,7 @@
     let memory = MemoryLimits {
         total_bytes: TOTAL_BYTES,
         admission_bytes: TOTAL_BYTES + MARGIN_BYTES,
-        read_stall: NEVER,
+        stall_limit: NEVER,
         ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
@@ -187,7 +187,7 @@
     let memory = MemoryLimits {
         total_bytes: 64 * ADMISSION_BYTES,
         admission_bytes: ADMISSION_BYTES,
-        read_stall: NEVER,
+        stall_limit: NEVER,
         pressure_stall_limit: Duration::from_millis(300),
         ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
@@ -219,7 +219,7 @@
 #[actix_rt::test]
 async fn stalled_caller_is_disconnected() {
     let memory = MemoryLimits {
-        read_stall: Duration::from_millis(500),
+        stall_limit: Duration::from_millis(500),
         ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
@@ -247,7 +247,7 @@
     let memory = MemoryLimits {
         total_bytes: TOTAL_BYTES,
         admission_bytes: TOTAL_BYTES / 4 * 3,
-        read_stall: NEVER,
+        stall_limit: NEVER,
         ..MemoryLimits::for_machine(AMPLE_MEMORY)
     };
     let fleet = Fleet::start_with_memory(GRACE, memory).await;
