--- a/crates/courseshed-consensus/src/error.rs
+++ b/crates/courseshed-consensus/src/error.rs
@@ -30,7 +30,7 @@
     },
     /// The leader is handing over: retry with the next leader.
     #[snafu(display("leadership is being handed over to replica {to}"))]
-    HandingOver {
+    TransferInProgress {
         /// The next leader.
         to: ReplicaId,
     },
@@ -72,7 +72,7 @@
     #[snafu(display(
         "only {alive} of the {needed} voters needed after the change were heard lately"
     ))]
-    TooFewAlive {
+    InsufficientActiveVoters {
         /// Voters after the change that were heard within an election timeout.
         alive: usize,
         /// Voters that make a majority after the change.
--- a/crates/courseshed-consensus/src/group.rs
+++ b/crates/courseshed-consensus/src/group.rs
@@ -338,9 +338,9 @@
     fn fail(&mut self, failure: GroupError) {
         log::error!(group = self.config.group.0, replica = self.config.id.0; "replica stopped: {failure}");
         self.peer.step_down();
-        let farewell = self.peer.ready();
-        self.outputs.messages.extend(farewell.messages);
-        self.outputs.role_changes.extend(farewell.role_change);
+        let final_ready = self.peer.ready();
+        self.outputs.messages.extend(final_ready.messages);
+        self.outputs.role_changes.extend(final_ready.role_change);
         self.failure = Some(failure);
     }
 
--- a/crates/courseshed-consensus/src/peer/defect.rs
+++ b/crates/courseshed-consensus/src/peer/defect.rs
@@ -1,21 +1,21 @@
-//! Deliberate defects, by which the model checker shows that it would find real ones.
+//! Injected protocol defects, used to verify that the model checker and the simulator detect them.
 //!
-//! Production code never sets one: nothing outside this crate can.
+//! They can't be set from outside this crate.
 
-/// A rule of the protocol to break.
+/// A protocol rule to violate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) enum Defect {
-    /// All rules are kept.
+    /// No rule is violated.
     #[default]
     None,
     /// A leader commits entries of older terms by counting replicas (Raft paper, section 5.4.2).
     CommitsOldTerms,
-    /// A leader commits what it alone has.
+    /// A leader commits entries without a quorum.
     CommitsAlone,
     /// Membership changes are proposed while an earlier one is uncommitted.
     ChangesAtOnce,
-    /// Votes are given to candidates whose log lacks entries of ours.
+    /// Votes are granted to candidates with an outdated log.
     IgnoresLogEnds,
-    /// Votes count whichever incarnation gives or asked for them.
+    /// Votes are counted regardless of the incarnations of voter and candidate.
     IgnoresIncarnations,
 }
--- a/crates/courseshed-consensus/src/peer/election.rs
+++ b/crates/courseshed-consensus/src/peer/election.rs
@@ -1,8 +1,9 @@
-//! Elections: pre-votes, votes, and the promise not to disturb a working leader.
+//! Elections: pre-votes, votes, and rejecting elections while a leader is active.
 //!
-//! Invariants: one vote per term, durable before it is sent; a vote counts only from a voter in its
-//! admitted incarnation, and only for the incarnation that asked. Any replica may give a vote, even
-//! one that doesn't know it is a voter yet: the candidate decides by its own log who counts.
+//! Invariants: at most one vote per term, durable before it is sent; a vote counts only from a voter
+//! in its admitted incarnation, and only for the incarnation that requested it. Any replica may grant
+//! a vote, even one that doesn't know yet that it is a voter: the candidate counts votes by the
+//! configuration in its own log.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -11,57 +12,56 @@
 
 use super::{Defect, Peer, Role};
 
-/// The votes a candidate has so far.
+/// The votes granted to a candidate so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(super) struct Ballot {
+pub(super) struct VoteSet {
     granted: BTreeSet<ReplicaId>,
 }
 
 impl Peer {
-    /// Starts an election at once, if this replica is a voter and not the leader.
+    /// Starts an election immediately, unless this replica is the leader or can't campaign.
     pub fn campaign(&mut self) {
-        if self.halted || self.is_leader() || !self.may_campaign() {
+        if self.halted || self.is_leader() || !self.can_campaign() {
             return;
         }
         if self.config.pre_vote {
-            self.ask_for_pre_votes();
+            self.start_pre_vote();
         } else {
-            self.ask_for_votes(false);
+            self.start_election(false);
         }
     }
 
-    /// Whether this replica is a voter, or would be if its last change of the members didn't become
-    /// committed. A leader that removed itself may be the only one with the entries that the others
-    /// need, and they don't elect anyone with a shorter log: it must lead until its removal is
-    /// committed (Ongaro, section 4.2.2).
-    pub(super) fn may_campaign(&self) -> bool {
+    /// Whether this replica is a voter in the latest or in the committed configuration. A leader that
+    /// removed itself may have the only complete log, and the other voters reject candidates with a
+    /// shorter one: it must be electable until its removal is committed (Ongaro, section 4.2.2).
+    pub(super) fn can_campaign(&self) -> bool {
         let committed = self.log.committed_configuration();
         self.configuration().is_voter(self.address()) || committed.is_voter(self.address())
     }
 
-    fn ask_for_pre_votes(&mut self) {
+    fn start_pre_vote(&mut self) {
         self.leader = None;
-        self.role = Role::PreCandidate(self.own_ballot());
+        self.role = Role::PreCandidate(self.own_vote());
         let log_end = self.log.end();
         self.send_to_other_voters(&MessageBody::PreVoteRequest { log_end });
-        self.finish_pre_votes();
+        self.check_pre_vote_quorum();
     }
 
-    pub(super) fn ask_for_votes(&mut self, handover: bool) {
+    pub(super) fn start_election(&mut self, handover: bool) {
         self.hard_state.term = self.hard_state.term.next();
         self.hard_state.vote = Some(self.address());
         self.leader = None;
         self.partial_snapshot = None;
-        self.role = Role::Candidate(self.own_ballot());
+        self.role = Role::Candidate(self.own_vote());
         self.reset_election_deadline();
         let log_end = self.log.end();
         self.send_to_other_voters(&MessageBody::VoteRequest { log_end, handover });
-        self.finish_votes();
+        self.check_vote_quorum();
     }
 
-    fn own_ballot(&self) -> Ballot {
+    fn own_vote(&self) -> VoteSet {
         let granted = BTreeSet::from([self.config.id]);
-        Ballot { granted }
+        VoteSet { granted }
     }
 
     fn send_to_other_voters(&mut self, body: &MessageBody) {
@@ -79,8 +79,9 @@
         term: Term,
         log_end: LogEnd,
     ) {
-        let in_time = term >= self.hard_state.term;
-        let granted = in_time && self.is_complete(log_end) && !self.protects_leader();
+        let is_current_term = term >= self.hard_state.term;
+        let granted =
+            is_current_term && self.is_log_up_to_date(log_end) && !self.has_active_leader();
         let body = MessageBody::PreVoteResponse {
             candidate: from,
             asked_in: term,
@@ -103,26 +104,26 @@
             return;
         }
         let is_ours = candidate == self.address() && asked_in == self.hard_state.term;
-        if is_ours && granted && self.counts(message.from) {
-            if let Role::PreCandidate(ballot) = &mut self.role {
-                ballot.granted.insert(message.from.replica);
+        if is_ours && granted && self.counts_towards_quorum(message.from) {
+            if let Role::PreCandidate(votes) = &mut self.role {
+                votes.granted.insert(message.from.replica);
             }
-            self.finish_pre_votes();
+            self.check_pre_vote_quorum();
         }
     }
 
-    fn finish_pre_votes(&mut self) {
-        if matches!(&self.role, Role::PreCandidate(ballot) if self.has_quorum(ballot)) {
-            self.ask_for_votes(false);
+    fn check_pre_vote_quorum(&mut self) {
+        if matches!(&self.role, Role::PreCandidate(votes) if self.has_quorum(votes)) {
+            self.start_election(false);
         }
     }
 
     pub(super) fn on_vote_request(&mut self, from: ReplicaAddress, log_end: LogEnd) {
-        let is_free = self
+        let can_vote = self
             .hard_state
             .vote
             .is_none_or(|candidate| candidate == from);
-        let granted = is_free && self.is_complete(log_end);
+        let granted = can_vote && self.is_log_up_to_date(log_end);
         if granted {
             self.hard_state.vote = Some(from);
             self.reset_election_deadline();
@@ -134,8 +135,8 @@
         self.send(from.replica, body);
     }
 
-    /// Whether a candidate's log has all that ours has.
-    fn is_complete(&self, log_end: LogEnd) -> bool {
+    /// Whether a candidate's log is at least as up to date as this replica's.
+    fn is_log_up_to_date(&self, log_end: LogEnd) -> bool {
         log_end >= self.log.end() || self.defect == Defect::IgnoresLogEnds
     }
 
@@ -145,32 +146,32 @@
         candidate: ReplicaAddress,
         granted: bool,
     ) {
-        let lax = self.defect == Defect::IgnoresIncarnations;
-        let is_ours = candidate == self.address() || lax;
-        if is_ours && granted && self.counts(from) {
-            if let Role::Candidate(ballot) = &mut self.role {
-                ballot.granted.insert(from.replica);
+        let ignores_incarnations = self.defect == Defect::IgnoresIncarnations;
+        let is_ours = candidate == self.address() || ignores_incarnations;
+        if is_ours && granted && self.counts_towards_quorum(from) {
+            if let Role::Candidate(votes) = &mut self.role {
+                votes.granted.insert(from.replica);
             }
-            self.finish_votes();
+            self.check_vote_quorum();
         }
     }
 
-    fn finish_votes(&mut self) {
-        if matches!(&self.role, Role::Candidate(ballot) if self.has_quorum(ballot)) {
+    fn check_vote_quorum(&mut self) {
+        if matches!(&self.role, Role::Candidate(votes) if self.has_quorum(votes)) {
             self.become_leader();
         }
     }
 
-    fn has_quorum(&self, ballot: &Ballot) -> bool {
+    fn has_quorum(&self, votes: &VoteSet) -> bool {
         let configuration = self.configuration();
         let granted = configuration
             .voters()
-            .filter(|voter| ballot.granted.contains(voter));
+            .filter(|voter| votes.granted.contains(voter));
         granted.count() >= configuration.quorum()
     }
 
-    /// Whether answers of this incarnation count towards a quorum.
-    pub(super) fn counts(&self, from: ReplicaAddress) -> bool {
+    /// Whether the sender is a voter in its admitted incarnation.
+    pub(super) fn counts_towards_quorum(&self, from: ReplicaAddress) -> bool {
         let configuration = self.configuration();
         if self.defect == Defect::IgnoresIncarnations {
             return configuration.voters().any(|voter| voter == from.replica);
@@ -189,21 +190,21 @@
         self.reset_election_deadline();
     }
 
-    /// Whether a leader may rely on us not to elect another one now.
-    pub(super) fn protects_leader(&self) -> bool {
+    /// Whether this replica leads or heard from a leader within the election timeout, so that it must
+    /// reject elections for the leader's lease to hold.
+    pub(super) fn has_active_leader(&self) -> bool {
         let is_following = self
             .leader_contact
-            .is_some_and(|contact| self.is_recent(contact));
+            .is_some_and(|contact| self.is_within_election_timeout(contact));
         self.config.check_quorum && (self.is_leader() || is_following)
     }
 
-    /// Whether a time lies less than an election timeout back.
-    pub(super) fn is_recent(&self, time: Duration) -> bool {
+    pub(super) fn is_within_election_timeout(&self, time: Duration) -> bool {
         self.now < time + self.config.election_timeout
     }
 
-    /// Answers a message of an older term, so that its sender learns of ours.
-    pub(super) fn answer_stale(&mut self, message: &Message) {
+    /// Replies to a message of an older term, so that its sender learns the current term.
+    pub(super) fn reply_to_stale(&mut self, message: &Message) {
         let from = message.from;
         let body = match &message.body {
             MessageBody::VoteRequest { .. } => MessageBody::VoteResponse {
@@ -235,28 +236,28 @@
     }
 
     pub(super) fn reset_election_deadline(&mut self) {
-        let least = self.config.election_timeout;
-        let spread = least.as_nanos().max(1) as u64;
-        let jitter = Duration::from_nanos(self.draw() % spread);
-        self.election_deadline = self.now + least + jitter;
+        let min_timeout = self.config.election_timeout;
+        let jitter_range = min_timeout.as_nanos().max(1) as u64;
+        let jitter = Duration::from_nanos(self.timeout_hash() % jitter_range);
+        self.election_deadline = self.now + min_timeout + jitter;
     }
 
-    /// A number that depends on the seed, the replica, the term and the time alone.
-    fn draw(&self) -> u64 {
+    /// A pseudorandom number derived from the seed, the replica ID, the term and the time.
+    fn timeout_hash(&self) -> u64 {
         let mut state = self.config.seed;
         for part in [
             self.config.id.0,
             self.hard_state.term.0,
             self.now.as_nanos() as u64,
         ] {
-            state = mix(mix(state).wrapping_add(part));
+            state = splitmix64(splitmix64(state).wrapping_add(part));
         }
         state
     }
 }
 
 /// The output function of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
-fn mix(value: u64) -> u64 {
+fn splitmix64(value: u64) -> u64 {
     const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
     let mut state = value.wrapping_add(INCREMENT);
     state = (state ^ (state >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/courseshed-consensus/src/peer/follower.rs
+++ b/crates/courseshed-consensus/src/peer/follower.rs
@@ -1,4 +1,4 @@
-//! What a follower does with a leader's appends and snapshot pieces.
+//! Handling of a leader's appends and snapshot chunks by a follower.
 
 use bytes::Bytes;
 
@@ -10,7 +10,7 @@
 
 use super::Peer;
 
-/// The pieces of a snapshot received so far.
+/// A snapshot whose chunks are still being received.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PartialSnapshot {
     metadata: SnapshotMetadata,
@@ -26,7 +26,7 @@
         commit: LogIndex,
         probe: Probe,
     ) {
-        if !self.follow(from) {
+        if !self.accept_leader(from) {
             return;
         }
         let outcome = match self.log.merge(previous, entries) {
@@ -34,17 +34,17 @@
                 self.log.commit_to(commit.min(matched));
                 AppendOutcome::Accepted { matched }
             }
-            Err(MergeError::Lacking { hint }) => AppendOutcome::Rejected {
+            Err(MergeError::LogMismatch { hint }) => AppendOutcome::Rejected {
                 previous: previous.index,
                 hint,
             },
-            Err(MergeError::ReplacesCommitted) => return self.halt(),
+            Err(MergeError::CommittedConflict) => return self.halt(),
         };
         self.send(from, MessageBody::AppendResponse { outcome, probe });
     }
 
-    /// Follows the leader of this term. False if we are that leader ourselves.
-    fn follow(&mut self, from: ReplicaId) -> bool {
+    /// Becomes a follower of the sender. Returns false if this replica is the leader of the term.
+    fn accept_leader(&mut self, from: ReplicaId) -> bool {
         if self.is_leader() {
             return false;
         }
@@ -67,20 +67,20 @@
         total: u64,
         data: &Bytes,
     ) {
-        if !self.follow(from) {
+        if !self.accept_leader(from) {
             return;
         }
         let index = metadata.index;
-        let next_offset = if self.already_covers(&metadata) {
+        let next_offset = if self.covers_snapshot(&metadata) {
             total
         } else {
-            self.take_chunk(metadata, offset, total, data)
+            self.receive_chunk(metadata, offset, total, data)
         };
         self.send(from, MessageBody::SnapshotResponse { index, next_offset });
     }
 
-    /// Whether the log has all that the snapshot stands for.
-    fn already_covers(&mut self, metadata: &SnapshotMetadata) -> bool {
+    /// Whether the log already contains the snapshot's last entry or has committed beyond it.
+    fn covers_snapshot(&mut self, metadata: &SnapshotMetadata) -> bool {
         let is_in_log = self.log.term_at(metadata.index) == Some(metadata.term);
         if is_in_log {
             self.log.commit_to(metadata.index);
@@ -88,8 +88,8 @@
         is_in_log || metadata.index <= self.log.committed()
     }
 
-    /// Keeps a piece if it is the next one. Returns the offset from which the rest is needed.
-    fn take_chunk(
+    /// Appends the chunk if it is the next one expected. Returns the offset of the next chunk.
+    fn receive_chunk(
         &mut self,
         metadata: SnapshotMetadata,
         offset: u64,
@@ -121,6 +121,6 @@
             data: Bytes::from(partial.data),
         };
         self.log.install(snapshot.clone());
-        self.to_install = Some(snapshot);
+        self.pending_snapshot = Some(snapshot);
     }
 }
--- a/crates/courseshed-consensus/src/peer/leader.rs
+++ b/crates/courseshed-consensus/src/peer/leader.rs
@@ -1,43 +1,43 @@
-//! What a leader remembers, and how it starts, orders proposals, and loses its place.
+//! Leader state: taking office, appending proposals, heartbeats, and stepping down without a quorum.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
 use bytes::Bytes;
 
-use crate::progress::{Feed, Progress};
+use crate::progress::{Progress, ReplicationState};
 use crate::{
     Configuration, Entry, EntryPayload, FollowerStatus, LogIndex, ProposalId, ProposeError,
     ReplicaId,
 };
 
-use super::handover::Handover;
+use super::leadership_transfer::LeadershipTransfer;
 use super::reads::PendingRead;
 use super::{Peer, Role};
 
-/// What a leader remembers for its term.
+/// The state of a leader during its term.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct LeaderState {
     pub(super) followers: BTreeMap<ReplicaId, Progress>,
-    /// The no-op of this term: until it is committed, what is committed isn't known for certain.
+    /// Index of this term's no-op. The commit index may be outdated until it is committed.
     pub(super) first_index: LogIndex,
     /// Counts heartbeat rounds and read barriers.
     pub(super) round: u64,
-    /// Every follower must get an append with the present round.
-    pub(super) probe_requested: bool,
-    /// A follower may want an append: something changed since the last `ready`.
-    pub(super) replication_due: bool,
+    /// Every follower must be sent an append with the current round.
+    pub(super) heartbeat_requested: bool,
+    /// Log or follower progress changed since the last `ready`, so appends may be due.
+    pub(super) replication_requested: bool,
     pub(super) heartbeat_deadline: Duration,
     pub(super) pending_reads: VecDeque<PendingRead>,
-    pub(super) handover: Option<Handover>,
-    /// Another replica was asked to start an election against our lease.
-    pub(super) lease_surrendered: bool,
-    /// Members heard in a later incarnation than the admitted one.
+    pub(super) transfer: Option<LeadershipTransfer>,
+    /// `TimeoutNow` was sent: another leader may be elected before the lease expires.
+    pub(super) lease_revoked: bool,
+    /// Members that sent messages in a later incarnation than the admitted one.
     pub(super) returned: BTreeMap<ReplicaId, u64>,
 }
 
 impl LeaderState {
-    /// Makes the followers those of the configuration.
+    /// Adds and removes followers to match the configuration.
     pub(super) fn sync_followers(
         &mut self,
         own: ReplicaId,
@@ -54,18 +54,18 @@
     }
 
     pub(super) fn next_wakeup(&self) -> Duration {
-        let handover = self
-            .handover
+        let transfer = self
+            .transfer
             .as_ref()
-            .map_or(Duration::MAX, |handover| handover.deadline);
-        self.heartbeat_deadline.min(handover)
+            .map_or(Duration::MAX, |transfer| transfer.deadline);
+        self.heartbeat_deadline.min(transfer)
     }
 
     pub(super) fn follower_status(&self) -> Vec<FollowerStatus> {
         let status = |(id, progress): (&ReplicaId, &Progress)| FollowerStatus {
             replica: *id,
             matched: progress.matched,
-            snapshotting: matches!(progress.feed, Feed::Snapshotting(_)),
+            snapshotting: matches!(progress.state, ReplicationState::Snapshotting(_)),
         };
         self.followers.iter().map(status).collect()
     }
@@ -77,12 +77,12 @@
             followers: BTreeMap::new(),
             first_index: self.log.last_index().next(),
             round: 1,
-            probe_requested: false,
-            replication_due: true,
+            heartbeat_requested: false,
+            replication_requested: true,
             heartbeat_deadline: self.now + self.config.heartbeat_interval,
             pending_reads: VecDeque::new(),
-            handover: None,
-            lease_surrendered: false,
+            transfer: None,
+            lease_revoked: false,
             returned: BTreeMap::new(),
         };
         let last_index = self.log.last_index();
@@ -94,14 +94,14 @@
         );
         self.role = Role::Leader(Box::new(leader));
         self.leader = Some(self.config.id);
-        self.append_own(EntryPayload::Noop);
+        self.append_to_own_log(EntryPayload::Noop);
     }
 
-    /// Proposes a command. It is replicated with the next `ready`, together with others proposed
-    /// until then.
+    /// Appends a command to the log. All commands proposed before the next `ready` are replicated
+    /// together.
     ///
     /// # Errors
-    /// [`ProposeError`]: nothing was written, and the command may be proposed again.
+    /// [`ProposeError`]: nothing was written, and the command may be retried.
     pub fn propose(&mut self, data: impl Into<Bytes>) -> Result<ProposalId, ProposeError> {
         let data = data.into();
         self.check_can_propose()?;
@@ -110,7 +110,7 @@
         if size > limit {
             return Err(ProposeError::TooLarge { size, limit });
         }
-        Ok(self.append_own(EntryPayload::Data(data)))
+        Ok(self.append_to_own_log(EntryPayload::Data(data)))
     }
 
     pub(super) fn check_can_propose(&self) -> Result<(), ProposeError> {
@@ -118,8 +118,8 @@
         let state = self
             .leader_state()
             .ok_or(ProposeError::NotLeader { leader })?;
-        if let Some(handover) = &state.handover {
-            return Err(ProposeError::HandingOver { to: handover.to });
+        if let Some(transfer) = &state.transfer {
+            return Err(ProposeError::TransferInProgress { to: transfer.to });
         }
         let uncommitted = self.log.last_index().0 - self.log.committed().0;
         if uncommitted >= self.config.max_uncommitted_entries {
@@ -128,7 +128,7 @@
         Ok(())
     }
 
-    pub(super) fn append_own(&mut self, payload: EntryPayload) -> ProposalId {
+    pub(super) fn append_to_own_log(&mut self, payload: EntryPayload) -> ProposalId {
         let term = self.hard_state.term;
         let index = self.log.last_index().next();
         self.log.append(Entry {
@@ -141,7 +141,7 @@
     }
 
     pub(super) fn tick_leader(&mut self) {
-        self.expire_handover();
+        self.expire_transfer();
         let now = self.now;
         let interval = self.config.heartbeat_interval;
         let Some(leader) = self.leader_state_mut() else {
@@ -151,44 +151,44 @@
             return;
         }
         leader.heartbeat_deadline = now + interval;
-        if self.hears_quorum() {
+        if self.has_quorum_contact() {
             self.request_heartbeat();
-            self.drive_membership();
+            self.advance_membership();
         } else {
             self.become_follower(self.hard_state.term, None);
         }
     }
 
-    /// Lets the next `ready` look at what followers want.
+    /// Makes the next `ready` send pending entries and commit indexes.
     pub(super) fn request_replication(&mut self) {
         if let Some(leader) = self.leader_state_mut() {
-            leader.replication_due = true;
+            leader.replication_requested = true;
         }
     }
 
-    /// Sends every follower an append with the next `ready`, entries or not.
+    /// Makes the next `ready` send every follower an append, even if empty.
     pub(crate) fn request_heartbeat(&mut self) {
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
         leader.round += 1;
-        leader.probe_requested = true;
+        leader.heartbeat_requested = true;
         leader
             .followers
             .values_mut()
-            .for_each(Progress::heartbeat_passed);
+            .for_each(Progress::on_heartbeat);
     }
 
-    fn hears_quorum(&self) -> bool {
+    fn has_quorum_contact(&self) -> bool {
         if !self.config.check_quorum {
             return true;
         }
-        let heard = self.quorum_of_followers(self.now, |progress| progress.last_heard);
-        heard.is_some_and(|heard| self.is_recent(heard))
+        let last_contact = self.quorum_progress(self.now, |progress| progress.last_contact);
+        last_contact.is_some_and(|time| self.is_within_election_timeout(time))
     }
 
-    /// The greatest value that a quorum reaches, where we ourselves count with `own`.
-    pub(super) fn quorum_of_followers<T: Ord + Clone>(
+    /// The greatest value reached by a quorum of voters, with `own` as this replica's value.
+    pub(super) fn quorum_progress<T: Ord + Clone>(
         &self,
         own: T,
         value_of: impl Fn(&Progress) -> T,
--- a/crates/courseshed-consensus/src/peer/handover.rs
+++ b/crates/courseshed-consensus/src/peer/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! Handing leadership to another voter, and giving it up when the own disk fails.
+//! Transferring leadership to another voter, and stepping down when the local storage fails.
 
 use std::time::Duration;
 
@@ -6,21 +6,21 @@
 
 use super::Peer;
 
-/// A hand-over under way.
+/// A leadership transfer in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(super) struct Handover {
+pub(super) struct LeadershipTransfer {
     pub(super) to: ReplicaId,
-    /// When it is given up and proposals are taken again.
+    /// When the transfer is aborted and proposals are accepted again.
     pub(super) deadline: Duration,
-    asked: bool,
+    timeout_now_sent: bool,
 }
 
 impl Peer {
-    /// Hands leadership to another voter, once that has the whole log. Until then, and for at most
-    /// an election timeout, proposals are refused.
+    /// Transfers leadership to another voter once its log is complete. Proposals are rejected
+    /// meanwhile, for at most an election timeout.
     ///
     /// # Errors
-    /// [`TransferError`].
+    /// [`TransferError`] if this replica is not the leader, or the target is not another voter.
     pub fn transfer_leadership(&mut self, to: ReplicaId) -> Result<(), TransferError> {
         let leader = self.leader;
         let deadline = self.now + self.config.election_timeout;
@@ -31,62 +31,62 @@
         if !is_target {
             return Err(TransferError::NotAVoter { to });
         }
-        state.handover = Some(Handover {
+        state.transfer = Some(LeadershipTransfer {
             to,
             deadline,
-            asked: false,
+            timeout_now_sent: false,
         });
-        self.drive_handover();
+        self.advance_transfer();
         Ok(())
     }
 
-    /// Asks the target to start its election, once it has the whole log.
-    pub(super) fn drive_handover(&mut self) {
+    /// Sends `TimeoutNow` to the target once its log is complete.
+    pub(super) fn advance_transfer(&mut self) {
         let last_index = self.log.last_index();
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
-        let Some(handover) = &mut leader.handover else {
+        let Some(transfer) = &mut leader.transfer else {
             return;
         };
-        let target = leader.followers.get(&handover.to);
-        let has_all = target.is_some_and(|progress| progress.matched >= last_index);
-        if handover.asked || !has_all {
+        let target = leader.followers.get(&transfer.to);
+        let is_caught_up = target.is_some_and(|progress| progress.matched >= last_index);
+        if transfer.timeout_now_sent || !is_caught_up {
             return;
         }
-        handover.asked = true;
-        leader.lease_surrendered = true;
-        let to = handover.to;
+        transfer.timeout_now_sent = true;
+        leader.lease_revoked = true;
+        let to = transfer.to;
         self.send(to, MessageBody::TimeoutNow);
     }
 
-    pub(super) fn expire_handover(&mut self) {
+    pub(super) fn expire_transfer(&mut self) {
         let now = self.now;
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
         if leader
-            .handover
-            .is_some_and(|handover| now >= handover.deadline)
+            .transfer
+            .is_some_and(|transfer| now >= transfer.deadline)
         {
-            leader.handover = None;
+            leader.transfer = None;
         }
     }
 
-    /// Gives up leadership at once, for example since the disk fails, and asks the voter that has
-    /// most of the log to take over. Does nothing on others.
+    /// Steps down immediately, for example after a storage failure, and asks the voter with the most
+    /// up-to-date log to start an election. Does nothing if this replica is not the leader.
     pub fn step_down(&mut self) {
         if !self.is_leader() {
             return;
         }
-        let successor = self.best_successor();
+        let successor = self.most_up_to_date_voter();
         self.become_follower(self.hard_state.term, None);
         if let Some(to) = successor {
             self.send(to, MessageBody::TimeoutNow);
         }
     }
 
-    fn best_successor(&self) -> Option<ReplicaId> {
+    fn most_up_to_date_voter(&self) -> Option<ReplicaId> {
         let leader = self.leader_state()?;
         let others = self
             .configuration()
@@ -102,8 +102,8 @@
     }
 
     pub(super) fn on_timeout_now(&mut self) {
-        if !self.is_leader() && self.may_campaign() {
-            self.ask_for_votes(true);
+        if !self.is_leader() && self.can_campaign() {
+            self.start_election(true);
         }
     }
 }
--- a/crates/courseshed-consensus/src/peer/membership.rs
+++ b/crates/courseshed-consensus/src/peer/membership.rs
@@ -1,9 +1,9 @@
-//! Membership changes, one at a time, and the readmission of replicas that lost their memory.
+//! Single-server membership changes, and readmission of replicas that lost their state.
 //!
-//! Invariant: a change is proposed only when the one before it, and an entry of the leader's own
-//! term, are committed (Ongaro's correction of 2015 to single-server changes).
+//! Invariant: a change is proposed only when the previous change and an entry of the leader's own
+//! term are committed (Ongaro's 2015 correction to single-server changes).
 
-use crate::progress::Feed;
+use crate::progress::ReplicationState;
 use crate::{
     ChangeError, Configuration, EntryPayload, LogIndex, MemberRole, MembershipChange, ProposalId,
     ReplicaAddress, ReplicaId,
@@ -12,7 +12,7 @@
 use super::{Defect, Peer};
 
 impl Peer {
-    /// Proposes a change of the members. It is in force as soon as it is in the log.
+    /// Proposes a membership change. It takes effect as soon as it is in the log.
     ///
     /// # Errors
     /// [`ChangeError`]: nothing was written.
@@ -28,13 +28,13 @@
         if let MembershipChange::PromoteLearner(replica) = change {
             self.check_caught_up(replica)?;
         }
-        self.check_alive(&next)?;
-        let id = self.append_own(EntryPayload::Configuration(next));
+        self.check_quorum_active(&next)?;
+        let id = self.append_to_own_log(EntryPayload::Configuration(next));
         self.adopt_configuration(change);
         Ok(id)
     }
 
-    /// The entry that must be committed before the members may change.
+    /// Index of the uncommitted entry that blocks membership changes, if any.
     fn pending_change(&self) -> Option<LogIndex> {
         if self.defect == Defect::ChangesAtOnce {
             return None;
@@ -44,20 +44,20 @@
         (pending > self.log.committed()).then_some(pending)
     }
 
-    /// Checks that a quorum of the next voters was heard lately.
-    fn check_alive(&self, next: &Configuration) -> Result<(), ChangeError> {
-        let is_alive = |voter: &ReplicaId| {
+    /// Checks that a quorum of the new voters was in contact within the election timeout.
+    fn check_quorum_active(&self, next: &Configuration) -> Result<(), ChangeError> {
+        let is_active = |voter: &ReplicaId| {
             let leader = self.leader_state();
             let follower = leader.and_then(|leader| leader.followers.get(voter));
-            // Whoever is no follower yet is this replica itself.
-            follower.is_none_or(|follower| self.is_recent(follower.last_heard))
+            // Only this replica itself has no follower progress.
+            follower.is_none_or(|follower| self.is_within_election_timeout(follower.last_contact))
         };
-        let alive = next.voters().filter(is_alive).count();
+        let alive = next.voters().filter(is_active).count();
         let needed = next.quorum();
         if alive >= needed {
             return Ok(());
         }
-        Err(ChangeError::TooFewAlive { alive, needed })
+        Err(ChangeError::InsufficientActiveVoters { alive, needed })
     }
 
     fn check_caught_up(&self, replica: ReplicaId) -> Result<(), ChangeError> {
@@ -66,10 +66,10 @@
             .leader_state()
             .and_then(|leader| leader.followers.get(&replica));
         let matched = follower.map_or(LogIndex(0), |progress| progress.matched);
-        let is_replicating =
-            follower.is_some_and(|progress| matches!(progress.feed, Feed::Replicating { .. }));
-        let is_near = matched.0 + self.config.promotion_lag >= last.0;
-        if is_replicating && is_near {
+        let is_replicating = follower
+            .is_some_and(|progress| matches!(progress.state, ReplicationState::Replicating { .. }));
+        let is_within_promotion_lag = matched.0 + self.config.promotion_lag >= last.0;
+        if is_replicating && is_within_promotion_lag {
             return Ok(());
         }
         Err(ChangeError::NotCaughtUp {
@@ -94,8 +94,8 @@
         leader.sync_followers(own, &configuration, last_index, now);
     }
 
-    /// Notes that a member is back in a later incarnation than the admitted one.
-    pub(super) fn note_returned_member(&mut self, from: ReplicaAddress) {
+    /// Records a member that returned in a later incarnation than the admitted one.
+    pub(super) fn record_returned_member(&mut self, from: ReplicaAddress) {
         let member = self.configuration().member(from.replica);
         let is_later = member.is_some_and(|member| member.incarnation < from.incarnation);
         if !is_later || !self.config.readmit {
@@ -107,31 +107,31 @@
         let noted = leader.returned.entry(from.replica).or_default();
         if *noted < from.incarnation {
             *noted = from.incarnation;
-            self.drive_membership();
+            self.advance_membership();
         }
     }
 
-    /// Takes the next step of readmitting or promoting a member, if one is due.
-    pub(super) fn drive_membership(&mut self) {
+    /// Proposes the next pending readmission or promotion, if any.
+    pub(super) fn advance_membership(&mut self) {
         if self.check_can_propose().is_err() || self.pending_change().is_some() {
             return;
         }
-        if let Some(change) = self.due_readmission().or_else(|| self.due_promotion()) {
+        if let Some(change) = self.next_readmission().or_else(|| self.next_promotion()) {
             let refused = self.propose_membership(change).is_err();
             if refused && let MembershipChange::Readmit(address) = change {
-                self.forget_returned(address.replica);
+                self.remove_returned(address.replica);
             }
         }
     }
 
-    fn due_readmission(&self) -> Option<MembershipChange> {
+    fn next_readmission(&self) -> Option<MembershipChange> {
         let returned = self.leader_state()?.returned.iter().next();
         let address =
             |(id, incarnation): (&ReplicaId, &u64)| ReplicaAddress::new(*id, *incarnation);
         returned.map(address).map(MembershipChange::Readmit)
     }
 
-    fn due_promotion(&self) -> Option<MembershipChange> {
+    fn next_promotion(&self) -> Option<MembershipChange> {
         let joining = self
             .configuration()
             .members()
@@ -142,7 +142,7 @@
         ready.map(MembershipChange::PromoteLearner)
     }
 
-    fn forget_returned(&mut self, replica: ReplicaId) {
+    fn remove_returned(&mut self, replica: ReplicaId) {
         if let Some(leader) = self.leader_state_mut() {
             leader.returned.remove(&replica);
         }
--- a/crates/courseshed-consensus/src/peer/mod.rs
+++ b/crates/courseshed-consensus/src/peer/mod.rs
@@ -1,17 +1,18 @@
 //! The state machine of one replica.
 //!
-//! A [`Peer`] is told of messages and of the passing of time, and says through `ready` what to send,
-//! to make durable and to apply. It has no clock, socket, thread or random source, and two peers
-//! that are told the same do the same.
+//! A [`Peer`] takes messages and the current time as input, and returns through `ready` what to
+//! send, persist and apply. It has no clock, socket, thread or random source, and is deterministic:
+//! the same inputs give the same outputs.
 //!
-//! Invariants: one vote per term; entries are acknowledged only when durable; a leader commits by
-//! counting only entries of its own term, and only voters in the incarnation that was admitted.
+//! Invariants: a replica votes at most once per term; entries are acknowledged only when durable; a
+//! leader commits by counting replicas only for entries of its own term, and counts only voters in
+//! the admitted incarnation.
 
 mod defect;
 mod election;
 mod follower;
-mod handover;
 mod leader;
+mod leadership_transfer;
 mod membership;
 mod output;
 mod reads;
@@ -27,16 +28,16 @@
 };
 
 pub(crate) use defect::Defect;
-use election::Ballot;
+use election::VoteSet;
 use follower::PartialSnapshot;
 use leader::LeaderState;
 
-/// The part a replica plays, with what it must remember for it.
+/// The Raft role of a replica, with the state specific to that role.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Role {
     Follower,
-    PreCandidate(Ballot),
-    Candidate(Ballot),
+    PreCandidate(VoteSet),
+    Candidate(VoteSet),
     Leader(Box<LeaderState>),
 }
 
@@ -52,28 +53,29 @@
     role: Role,
     leader: Option<ReplicaId>,
     election_deadline: Duration,
-    /// When a leader was last heard, or when we may last have promised one to wait.
+    /// When the leader last contacted this replica. After a restart in a term above 0 it is the start
+    /// time, since a lease granted before the restart may still be valid.
     leader_contact: Option<Duration>,
     partial_snapshot: Option<PartialSnapshot>,
-    to_install: Option<Snapshot>,
+    pending_snapshot: Option<Snapshot>,
     outbox: Vec<Message>,
     reads_ready: Vec<ReadReady>,
-    /// The last read barrier asked for, in any term: a name is never given twice.
+    /// ID of the latest read barrier. Not reset between terms, so IDs are never reused.
     last_read: u64,
-    reported: Option<RoleChange>,
-    /// A leader asked to replace what was committed: the group is broken, and this replica stops.
+    reported_role: Option<RoleChange>,
+    /// Set when a leader tried to overwrite committed entries; the replica then stops for good.
     halted: bool,
 }
 
 impl Peer {
-    /// Starts a replica from what its storage held.
+    /// Creates a replica from its restored storage.
     ///
-    /// `now` is monotonic since an origin of the caller's choice; all later times are on that clock.
+    /// `now` is monotonic time since an arbitrary origin; all later times must use the same clock.
     #[must_use]
     pub fn new(config: PeerConfig, now: Duration, restored: Restored) -> Self {
         let hard_state = restored.hard_state;
         let log = ReplicaLog::new(restored, &config.initial_members);
-        let may_have_promised = hard_state.term > Term(0);
+        let has_seen_term = hard_state.term > Term(0);
         let mut peer = Self {
             config,
             defect: Defect::None,
@@ -84,57 +86,56 @@
             role: Role::Follower,
             leader: None,
             election_deadline: now,
-            leader_contact: may_have_promised.then_some(now),
+            leader_contact: has_seen_term.then_some(now),
             partial_snapshot: None,
-            to_install: None,
+            pending_snapshot: None,
             outbox: Vec::new(),
             reads_ready: Vec::new(),
             last_read: 0,
-            reported: None,
+            reported_role: None,
             halted: false,
         };
         peer.reset_election_deadline();
-        peer.reported = Some(peer.role_change());
+        peer.reported_role = Some(peer.role_change());
         peer
     }
 
-    /// Breaks a rule on purpose, for the model checker.
+    /// Injects a protocol defect, to test the model checker.
     pub(crate) fn with_defect(mut self, defect: Defect) -> Self {
         self.defect = defect;
         self
     }
 
-    /// Term and vote.
     pub(crate) fn hard_state(&self) -> HardState {
         self.hard_state
     }
 
-    /// Takes in a message. Messages of other groups, to other replicas, and of incarnations that
-    /// have been replaced are dropped.
+    /// Processes a message. Drops messages of other groups, messages to other replicas, and messages
+    /// from incarnations that have been replaced.
     pub fn step(&mut self, now: Duration, message: Message) {
         self.observe(now);
-        if self.halted || !self.is_for_us(&message) {
+        if self.halted || !self.should_process(&message) {
             return;
         }
-        self.note_returned_member(message.from);
+        self.record_returned_member(message.from);
         match message.body {
             MessageBody::PreVoteRequest { log_end } => {
                 self.on_pre_vote_request(message.from, message.term, log_end);
             }
             MessageBody::PreVoteResponse { .. } => self.on_pre_vote_response(&message),
-            MessageBody::VoteRequest { handover, .. } if !handover && self.protects_leader() => {}
+            MessageBody::VoteRequest { handover, .. } if !handover && self.has_active_leader() => {}
             _ => self.step_in_term(message),
         }
     }
 
-    /// Takes in the time, without letting anything fall due.
+    /// Advances the clock without firing timers.
     pub(crate) fn observe(&mut self, now: Duration) {
         self.now = self.now.max(now);
     }
 
     fn step_in_term(&mut self, message: Message) {
         if message.term < self.hard_state.term {
-            self.answer_stale(&message);
+            self.reply_to_stale(&message);
             return;
         }
         if message.term > self.hard_state.term {
@@ -178,8 +179,8 @@
         }
     }
 
-    /// Lets time pass: elections, heartbeats and leases fall due. Call it no later than
-    /// [`Peer::next_wakeup`]; calling it more often is harmless.
+    /// Advances the clock and fires expired timers (elections, heartbeats, transfers). Call it no
+    /// later than [`Peer::next_wakeup`]; calling it more often is harmless.
     pub fn tick(&mut self, now: Duration) {
         self.observe(now);
         if self.halted {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// When [`Peer::tick`] has something to do next; `Duration::MAX` when never.
+    /// When the next timer expires; `Duration::MAX` if there is none.
     #[must_use]
     pub fn next_wakeup(&self) -> Duration {
         if self.halted {
@@ -201,12 +202,12 @@
         }
         match &self.role {
             Role::Leader(leader) => leader.next_wakeup(),
-            _ if self.may_campaign() => self.election_deadline,
+            _ if self.can_campaign() => self.election_deadline,
             _ => Duration::MAX,
         }
     }
 
-    fn is_for_us(&self, message: &Message) -> bool {
+    fn should_process(&self, message: &Message) -> bool {
         let addressed = message.group == self.config.group && message.to == self.config.id;
         let sender = self.log.configuration().member(message.from.replica);
         let replaced = sender.is_some_and(|member| member.incarnation > message.from.incarnation);
@@ -223,50 +224,50 @@
         });
     }
 
-    /// Whether this replica orders the log.
+    /// Whether this replica is the leader of its term.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         matches!(self.role, Role::Leader(_))
     }
 
-    /// The leader, as far as known.
+    /// The leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<ReplicaId> {
         self.leader
     }
 
-    /// The current term.
+    /// The latest term this replica has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.hard_state.term
     }
 
-    /// The last entry known to be committed.
+    /// Index of the last entry known to be committed.
     #[must_use]
     pub fn commit_index(&self) -> LogIndex {
         self.log.committed()
     }
 
-    /// The last applied entry.
+    /// Index of the last applied entry.
     #[must_use]
     pub fn applied_index(&self) -> LogIndex {
         self.log.applied()
     }
 
-    /// The members in force at this replica.
+    /// The latest configuration in this replica's log, committed or not.
     #[must_use]
     pub fn configuration(&self) -> &Configuration {
         self.log.configuration()
     }
 
-    /// The members in force, if the entry they stand in is known to be committed.
+    /// The latest configuration, if its entry is known to be committed.
     #[must_use]
     pub fn committed_configuration(&self) -> Option<&Configuration> {
         let is_committed = self.log.configuration_index() <= self.log.committed();
         is_committed.then(|| self.configuration())
     }
 
-    /// This replica in its present incarnation.
+    /// The replica's ID and current incarnation.
     #[must_use]
     pub fn address(&self) -> ReplicaAddress {
         self.config.address()
@@ -278,13 +279,13 @@
         self.config.group
     }
 
-    /// Whether the replica stopped because a leader asked to replace committed entries.
+    /// Whether the replica stopped because a leader tried to overwrite committed entries.
     #[must_use]
     pub fn is_halted(&self) -> bool {
         self.halted
     }
 
-    /// A summary for operators and metrics.
+    /// A snapshot of the replica's state for operators and metrics.
     #[must_use]
     pub fn status(&self) -> PeerStatus {
         PeerStatus {
--- a/crates/courseshed-consensus/src/peer/reads.rs
+++ b/crates/courseshed-consensus/src/peer/reads.rs
@@ -1,8 +1,9 @@
-//! Reads that are certain to see every committed entry: by lease, or by asking a quorum.
+//! Linearizable reads, by lease or by confirming leadership with a quorum.
 //!
-//! Invariant of the lease: a follower that answered an append sent at `t` elects nobody before `t`
-//! plus the election timeout by its own clock. The lease ends earlier, by the greatest drift allowed
-//! between clocks. A hand-over breaks that promise, so from then on the term has no lease.
+//! Lease invariant: a follower that acknowledged an append sent at `t` votes for no other leader
+//! before `t` plus the election timeout by its own clock. The lease is shorter by the maximum clock
+//! drift. A leadership transfer bypasses that guarantee, so it revokes the lease for the rest of the
+//! term.
 
 use std::time::Duration;
 
@@ -11,7 +12,7 @@
 use super::Peer;
 use super::leader::LeaderState;
 
-/// A read barrier that a quorum has not confirmed yet.
+/// A read barrier awaiting confirmation by a quorum.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingRead {
     read: ReadReady,
@@ -19,11 +20,11 @@
 }
 
 impl LeaderState {
-    /// Lets a read wait for a round that starts after it was asked for.
-    fn await_round(&mut self, read: ReadReady) {
-        if !self.probe_requested {
+    /// Queues a read until a quorum acknowledges a round that starts after the request.
+    fn enqueue_read(&mut self, read: ReadReady) {
+        if !self.heartbeat_requested {
             self.round += 1;
-            self.probe_requested = true;
+            self.heartbeat_requested = true;
         }
         let round = self.round;
         self.pending_reads.push_back(PendingRead { read, round });
@@ -31,8 +32,8 @@
 }
 
 impl Peer {
-    /// Whether this replica certainly is the leader at `now` and knows all that is committed, so
-    /// that its state machine may be read once it has applied the commit index.
+    /// Whether this replica holds a valid leader lease at `now`, so that its state machine may be read
+    /// without a quorum once it has applied the commit index.
     #[must_use]
     pub fn lease_valid(&self, now: Duration) -> bool {
         if !self.config.lease {
@@ -51,10 +52,10 @@
 
     fn lease_end(&self) -> Option<Duration> {
         let leader = self.leader_state()?;
-        if leader.lease_surrendered {
+        if leader.lease_revoked {
             return None;
         }
-        let acknowledged = self.quorum_of_followers(Some(self.now), |progress| {
+        let acknowledged = self.quorum_progress(Some(self.now), |progress| {
             progress.acknowledged.map(|probe| probe.sent_at)
         });
         acknowledged
@@ -62,11 +63,11 @@
             .map(|sent_at| sent_at + self.config.lease_duration())
     }
 
-    /// Asks for a read barrier. It is reported in a later `ready`, with the index that must be
-    /// applied before the read; if leadership is lost first, it is never reported.
+    /// Requests a read barrier. A later `ready` returns it with the index that must be applied before
+    /// the read. It is never returned if leadership is lost first.
     ///
     /// # Errors
-    /// [`ProposeError::NotLeader`].
+    /// [`ProposeError::NotLeader`] if this replica is not the leader.
     pub fn read_barrier(&mut self, now: Duration) -> Result<ReadId, ProposeError> {
         self.now = self.now.max(now);
         let has_lease = self.lease_valid(self.now);
@@ -79,7 +80,7 @@
         let index: LogIndex = committed.max(state.first_index);
         let read = ReadReady { id, index };
         if !has_lease {
-            state.await_round(read);
+            state.enqueue_read(read);
         }
         self.last_read = id.0;
         match has_lease {
@@ -89,12 +90,14 @@
         Ok(id)
     }
 
-    /// Reports the reads whose round a quorum has answered.
+    /// Confirms the reads whose round a quorum has acknowledged.
     pub(super) fn confirm_reads(&mut self) {
-        let answered = self.quorum_of_followers(u64::MAX, |progress| {
+        let acknowledged = self.quorum_progress(u64::MAX, |progress| {
             progress.acknowledged.map_or(0, |probe| probe.round)
         });
-        let Some(answered) = answered else { return };
+        let Some(acknowledged) = acknowledged else {
+            return;
+        };
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
@@ -102,7 +105,7 @@
         while leader
             .pending_reads
             .front()
-            .is_some_and(|pending| pending.round <= answered)
+            .is_some_and(|pending| pending.round <= acknowledged)
         {
             confirmed.extend(leader.pending_reads.pop_front().map(|pending| pending.read));
         }
--- a/crates/courseshed-consensus/src/peer/replication.rs
+++ b/crates/courseshed-consensus/src/peer/replication.rs
@@ -1,49 +1,49 @@
-//! How a leader feeds its followers, and when it commits.
+//! Log replication from the leader to its followers, and commitment.
 //!
-//! Invariant: an entry is committed when a quorum holds it durably and it, or a later one that the
-//! quorum holds, is of the leader's own term (Raft paper, section 5.4.2).
+//! Invariant: an entry is committed once a quorum has it durably and it, or a later entry that the
+//! quorum has, is of the leader's own term (Raft paper, section 5.4.2).
 
-use crate::progress::{Feed, Progress};
+use crate::progress::{Progress, ReplicationState};
 use crate::{AppendOutcome, LogIndex, MessageBody, Probe, ReplicaAddress, ReplicaId};
 
 use super::{Defect, Peer};
 
 impl Peer {
-    /// Sends each follower what it lacks, as far as its window allows.
+    /// Sends each follower its missing entries, up to its in-flight limit.
     pub(super) fn replicate(&mut self) {
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
-        let heartbeat = std::mem::take(&mut leader.probe_requested);
-        let is_due = std::mem::take(&mut leader.replication_due);
+        let heartbeat = std::mem::take(&mut leader.heartbeat_requested);
+        let is_due = std::mem::take(&mut leader.replication_requested);
         if !heartbeat && !is_due {
             return;
         }
         let followers: Vec<ReplicaId> = leader.followers.keys().copied().collect();
         for follower in followers {
-            self.feed(follower, heartbeat);
+            self.replicate_to(follower, heartbeat);
         }
     }
 
-    fn feed(&mut self, to: ReplicaId, heartbeat: bool) {
-        self.turn_to_snapshot_if_needed(to);
+    fn replicate_to(&mut self, to: ReplicaId, heartbeat: bool) {
+        self.start_snapshot_if_needed(to);
         let mut must_send = heartbeat;
-        while self.wants_append(to) {
+        while self.should_send_entries(to) {
             must_send = false;
             self.send_entries(to);
         }
         self.send_chunk(to);
-        if must_send || self.owes_commit(to) {
+        if must_send || self.should_send_commit(to) {
             self.send_empty_append(to);
         }
     }
 
-    /// Turns to a snapshot for a follower whose next entry's predecessor was compacted away.
-    fn turn_to_snapshot_if_needed(&mut self, to: ReplicaId) {
+    /// Switches to a snapshot transfer if the entry before the follower's next one was compacted.
+    fn start_snapshot_if_needed(&mut self, to: ReplicaId) {
         let Some(progress) = self.progress(to) else {
             return;
         };
-        let is_snapshotting = matches!(progress.feed, Feed::Snapshotting(_));
+        let is_snapshotting = matches!(progress.state, ReplicationState::Snapshotting(_));
         let is_in_log = self.log.term_at(progress.next.previous()).is_some();
         if is_snapshotting || is_in_log {
             return;
@@ -69,13 +69,13 @@
         }
     }
 
-    fn wants_append(&self, to: ReplicaId) -> bool {
+    fn should_send_entries(&self, to: ReplicaId) -> bool {
         let Some(progress) = self.progress(to) else {
             return false;
         };
         let has_entries = progress.next <= self.log.last_index();
-        let is_searching = matches!(progress.feed, Feed::Probing { .. });
-        progress.may_append(self.config.max_inflight) && (has_entries || is_searching)
+        let is_probing = matches!(progress.state, ReplicationState::Probing { .. });
+        progress.can_append(self.config.max_inflight) && (has_entries || is_probing)
     }
 
     /// Sends the next batch of entries.
@@ -108,17 +108,17 @@
         );
     }
 
-    /// Sends an append that only probes, where the follower's log is believed to end.
+    /// Sends an empty append (heartbeat or commit update) at the expected end of the follower's log.
     fn send_empty_append(&mut self, to: ReplicaId) {
         let Some(progress) = self.progress(to) else {
             return;
         };
-        let previous_index = match &progress.feed {
-            Feed::Snapshotting(transfer) => transfer.snapshot.metadata.index,
+        let previous_index = match &progress.state {
+            ReplicationState::Snapshotting(transfer) => transfer.snapshot.metadata.index,
             _ => progress.next.previous(),
         };
-        let previous_term = match (&progress.feed, self.log.term_at(previous_index)) {
-            (Feed::Snapshotting(transfer), _) => transfer.snapshot.metadata.term,
+        let previous_term = match (&progress.state, self.log.term_at(previous_index)) {
+            (ReplicationState::Snapshotting(transfer), _) => transfer.snapshot.metadata.term,
             (_, Some(term)) => term,
             (_, None) => return,
         };
@@ -140,13 +140,13 @@
         );
     }
 
-    fn owes_commit(&self, to: ReplicaId) -> bool {
+    fn should_send_commit(&self, to: ReplicaId) -> bool {
         let Some(progress) = self.progress(to) else {
             return false;
         };
-        let news = progress.matched.min(self.log.committed());
-        let is_replicating = matches!(progress.feed, Feed::Replicating { .. });
-        self.config.eager_commit && is_replicating && progress.sent_commit < news
+        let commit = progress.matched.min(self.log.committed());
+        let is_replicating = matches!(progress.state, ReplicationState::Replicating { .. });
+        self.config.eager_commit && is_replicating && progress.sent_commit < commit
     }
 
     fn send_chunk(&mut self, to: ReplicaId) {
@@ -154,7 +154,7 @@
         let Some(progress) = self.progress_mut(to) else {
             return;
         };
-        let Feed::Snapshotting(transfer) = &mut progress.feed else {
+        let ReplicationState::Snapshotting(transfer) = &mut progress.state else {
             return;
         };
         if transfer.waiting {
@@ -186,13 +186,13 @@
         let Some(progress) = self.progress_mut(from.replica) else {
             return;
         };
-        progress.heard(now);
+        progress.record_contact(now);
         progress.acknowledge(probe);
         match outcome {
             AppendOutcome::Accepted { matched } => progress.accepted(matched),
             AppendOutcome::Rejected { previous, hint } => progress.rejected(previous, hint),
         }
-        self.after_progress();
+        self.on_progress();
     }
 
     pub(super) fn on_snapshot_response(
@@ -208,8 +208,8 @@
         let Some(progress) = self.progress_mut(from.replica) else {
             return;
         };
-        progress.heard(now);
-        let Feed::Snapshotting(transfer) = &mut progress.feed else {
+        progress.record_contact(now);
+        let ReplicationState::Snapshotting(transfer) = &mut progress.state else {
             return;
         };
         let total = transfer.snapshot.data.len() as u64;
@@ -221,45 +221,45 @@
         if next_offset == total {
             progress.accepted(index);
         }
-        self.after_progress();
+        self.on_progress();
     }
 
     fn is_admitted(&self, from: ReplicaAddress) -> bool {
         self.configuration().contains(from) || self.defect == Defect::IgnoresIncarnations
     }
 
-    fn after_progress(&mut self) {
+    fn on_progress(&mut self) {
         self.request_replication();
         self.advance_commit();
         self.confirm_reads();
-        self.drive_handover();
+        self.advance_transfer();
     }
 
-    /// Commits what a quorum holds.
+    /// Advances the commit index to the last entry that a quorum has durably.
     pub(super) fn advance_commit(&mut self) {
         let stable = self.log.stable();
-        let held = match self.defect {
+        let replicated = match self.defect {
             Defect::CommitsAlone => Some(stable),
-            _ => self.quorum_of_followers(stable, |progress| progress.matched),
+            _ => self.quorum_progress(stable, |progress| progress.matched),
         };
-        let Some(held) = held else { return };
-        let is_own_term = self.log.term_at(held) == Some(self.hard_state.term);
+        let Some(replicated) = replicated else { return };
+        let is_own_term = self.log.term_at(replicated) == Some(self.hard_state.term);
         let may_commit = is_own_term || self.defect == Defect::CommitsOldTerms;
-        if held <= self.log.committed() || !may_commit {
+        if replicated <= self.log.committed() || !may_commit {
             return;
         }
-        self.log.commit_to(held);
+        self.log.commit_to(replicated);
         self.request_replication();
         self.after_commit();
     }
 
     fn after_commit(&mut self) {
         let is_member = self.configuration().contains(self.address());
-        let is_settled = self.log.configuration_index() <= self.log.committed();
-        if !is_member && is_settled {
+        let is_configuration_committed = self.log.configuration_index() <= self.log.committed();
+        if !is_member && is_configuration_committed {
             self.become_follower(self.hard_state.term, None);
             return;
         }
-        self.drive_membership();
+        self.advance_membership();
     }
 }
--- a/crates/courseshed-consensus/src/progress.rs
+++ b/crates/courseshed-consensus/src/progress.rs
@@ -1,51 +1,51 @@
-//! What a leader knows of one follower, and how much it may send to it.
+//! The replication progress of one follower, as tracked by the leader.
 //!
-//! Invariant: `matched < next`; `matched` never shrinks within a term and incarnation.
+//! Invariant: `matched < next`; `matched` never decreases within a term and incarnation.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
 use crate::{LogIndex, Probe, Snapshot};
 
-/// How a follower is being fed.
+/// How the log is being replicated to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Feed {
-    /// The point where the logs agree is being looked for: one append at a time.
+pub(crate) enum ReplicationState {
+    /// Searching for the last matching entry, with one append in flight.
     Probing {
-        /// An append is unanswered.
+        /// An append is unacknowledged.
         waiting: bool,
     },
-    /// The logs agree up to `matched`: appends are pipelined. Holds the last index of each.
+    /// The logs match up to `matched`; appends are pipelined.
     Replicating {
-        /// Last index of each unanswered append.
+        /// Last index of each unacknowledged append.
         inflight: VecDeque<LogIndex>,
     },
-    /// The follower needs a snapshot, which is sent piece by piece.
+    /// The follower needs entries that were compacted; a snapshot is sent in chunks.
     Snapshotting(SnapshotTransfer),
 }
 
-/// A snapshot on its way to a follower.
+/// A snapshot transfer to a follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SnapshotTransfer {
     pub(crate) snapshot: Snapshot,
     pub(crate) offset: u64,
-    /// A piece is unanswered.
+    /// A chunk is unacknowledged.
     pub(crate) waiting: bool,
-    /// A heartbeat has passed since the piece was sent.
+    /// A heartbeat interval has passed since the chunk was sent.
     pub(crate) overdue: bool,
 }
 
-/// A leader's view of one follower.
+/// The replication progress of one follower.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Progress {
     pub(crate) matched: LogIndex,
     pub(crate) next: LogIndex,
-    pub(crate) feed: Feed,
-    /// Greatest commit index sent along.
+    pub(crate) state: ReplicationState,
+    /// Latest commit index sent to the follower.
     pub(crate) sent_commit: LogIndex,
-    /// When the follower was last heard, by the leader's clock.
-    pub(crate) last_heard: Duration,
-    /// The latest probe the follower has echoed.
+    /// When the follower last replied, by the leader's clock.
+    pub(crate) last_contact: Duration,
+    /// The latest probe that the follower has echoed.
     pub(crate) acknowledged: Option<Probe>,
 }
 
@@ -54,15 +54,15 @@
         Self {
             matched: LogIndex(0),
             next: last_index.next(),
-            feed: Feed::Probing { waiting: false },
+            state: ReplicationState::Probing { waiting: false },
             sent_commit: LogIndex(0),
-            last_heard: now,
+            last_contact: now,
             acknowledged: None,
         }
     }
 
-    pub(crate) fn heard(&mut self, now: Duration) {
-        self.last_heard = self.last_heard.max(now);
+    pub(crate) fn record_contact(&mut self, now: Duration) {
+        self.last_contact = self.last_contact.max(now);
     }
 
     pub(crate) fn acknowledge(&mut self, probe: Probe) {
@@ -73,39 +73,39 @@
         });
     }
 
-    /// Whether an append with entries may be sent now.
-    pub(crate) fn may_append(&self, max_inflight: usize) -> bool {
-        match &self.feed {
-            Feed::Probing { waiting } => !waiting,
-            Feed::Replicating { inflight } => inflight.len() < max_inflight,
-            Feed::Snapshotting(_) => false,
+    /// Whether the in-flight limit allows another append with entries.
+    pub(crate) fn can_append(&self, max_inflight: usize) -> bool {
+        match &self.state {
+            ReplicationState::Probing { waiting } => !waiting,
+            ReplicationState::Replicating { inflight } => inflight.len() < max_inflight,
+            ReplicationState::Snapshotting(_) => false,
         }
     }
 
-    /// Notes that entries up to `last` were sent.
+    /// Records that entries up to `last` were sent.
     pub(crate) fn sent(&mut self, last: LogIndex) {
-        match &mut self.feed {
-            Feed::Probing { waiting } => *waiting = true,
-            Feed::Replicating { inflight } => {
+        match &mut self.state {
+            ReplicationState::Probing { waiting } => *waiting = true,
+            ReplicationState::Replicating { inflight } => {
                 inflight.push_back(last);
                 self.next = last.next();
             }
-            Feed::Snapshotting(_) => {}
+            ReplicationState::Snapshotting(_) => {}
         }
     }
 
-    /// Notes that the follower's log agrees up to `matched`.
+    /// Records that the follower's log matches up to `matched`.
     pub(crate) fn accepted(&mut self, matched: LogIndex) {
         self.matched = self.matched.max(matched);
-        match &mut self.feed {
-            Feed::Probing { .. } => self.replicate(),
-            Feed::Replicating { inflight } => {
+        match &mut self.state {
+            ReplicationState::Probing { .. } => self.replicate(),
+            ReplicationState::Replicating { inflight } => {
                 while inflight.front().is_some_and(|last| *last <= matched) {
                     inflight.pop_front();
                 }
                 self.next = self.next.max(self.matched.next());
             }
-            Feed::Snapshotting(transfer) => {
+            ReplicationState::Snapshotting(transfer) => {
                 if matched >= transfer.snapshot.metadata.index {
                     self.replicate();
                 }
@@ -113,27 +113,27 @@
         }
     }
 
-    /// Notes that the follower lacks `previous`, and may agree up to `hint`.
+    /// Records that the follower rejected an append after `previous`; its log may match up to `hint`.
     pub(crate) fn rejected(&mut self, previous: LogIndex, hint: LogIndex) {
-        let stale = match &self.feed {
-            Feed::Probing { .. } => previous.next() != self.next,
-            Feed::Replicating { .. } => previous <= self.matched,
-            Feed::Snapshotting(_) => true,
+        let stale = match &self.state {
+            ReplicationState::Probing { .. } => previous.next() != self.next,
+            ReplicationState::Replicating { .. } => previous <= self.matched,
+            ReplicationState::Snapshotting(_) => true,
         };
         if stale {
             return;
         }
         let next = hint.next().min(previous);
         self.next = next.max(self.matched.next());
-        self.feed = Feed::Probing { waiting: false };
+        self.state = ReplicationState::Probing { waiting: false };
     }
 
-    /// Lets an unanswered probe or snapshot piece be sent again.
-    pub(crate) fn heartbeat_passed(&mut self) {
-        match &mut self.feed {
-            Feed::Probing { waiting } => *waiting = false,
-            Feed::Replicating { .. } => {}
-            Feed::Snapshotting(transfer) => {
+    /// Allows unacknowledged probes and overdue snapshot chunks to be resent.
+    pub(crate) fn on_heartbeat(&mut self) {
+        match &mut self.state {
+            ReplicationState::Probing { waiting } => *waiting = false,
+            ReplicationState::Replicating { .. } => {}
+            ReplicationState::Snapshotting(transfer) => {
                 transfer.waiting &= !transfer.overdue;
                 transfer.overdue = true;
             }
@@ -141,7 +141,7 @@
     }
 
     pub(crate) fn start_snapshot(&mut self, snapshot: Snapshot) {
-        self.feed = Feed::Snapshotting(SnapshotTransfer {
+        self.state = ReplicationState::Snapshotting(SnapshotTransfer {
             snapshot,
             offset: 0,
             waiting: false,
@@ -151,7 +151,7 @@
 
     fn replicate(&mut self) {
         self.next = self.matched.next();
-        self.feed = Feed::Replicating {
+        self.state = ReplicationState::Replicating {
             inflight: VecDeque::new(),
         };
     }
--- a/crates/courseshed-consensus/src/replica_log.rs
+++ b/crates/courseshed-consensus/src/replica_log.rs
@@ -1,7 +1,7 @@
-//! A replica's view of the log: entries in memory, and how far they are durable, committed, applied.
+//! The in-memory log of a replica, and how far it is durable, committed and applied.
 //!
-//! Invariants: `offset <= applied <= committed <= last`, `stable <= last`; entries have no gaps; a
-//! committed entry is never cut; the configuration in force is the latest one in the log.
+//! Invariants: `offset <= applied <= committed <= last`, `stable <= last`; entries are contiguous;
+//! committed entries are never truncated; the latest configuration in the log is in effect.
 
 use std::collections::VecDeque;
 
@@ -10,36 +10,36 @@
     Term,
 };
 
-/// A configuration and the entry it stands in.
+/// A configuration and the index of its entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct ConfigurationAt {
+struct IndexedConfiguration {
     index: LogIndex,
     configuration: Configuration,
 }
 
-/// Why a leader's entries don't fit.
+/// Why a leader's entries can't be merged.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum MergeError {
-    /// The entry before them is missing or different; the logs may agree up to the hint.
-    Lacking {
-        /// The last index that may be equal.
+    /// The entry before them is missing or has a different term.
+    LogMismatch {
+        /// The last index at which the logs may match.
         hint: LogIndex,
     },
-    /// They would replace what is committed, which no leader may ask for.
-    ReplacesCommitted,
+    /// They conflict with committed entries, which violates the protocol.
+    CommittedConflict,
 }
 
 /// The log of one replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct ReplicaLog {
-    /// End of the part that was compacted away.
+    /// The last compacted entry.
     offset: LogEnd,
     entries: VecDeque<Entry>,
     stable: LogIndex,
     committed: LogIndex,
     applied: LogIndex,
     snapshot: Snapshot,
-    configurations: Vec<ConfigurationAt>,
+    configurations: Vec<IndexedConfiguration>,
 }
 
 impl ReplicaLog {
@@ -71,7 +71,7 @@
             committed: index,
             applied: index,
             snapshot,
-            configurations: vec![ConfigurationAt {
+            configurations: vec![IndexedConfiguration {
                 index,
                 configuration,
             }],
@@ -112,7 +112,7 @@
         &self.snapshot
     }
 
-    /// The members in force: those of the latest configuration, committed or not.
+    /// The latest configuration in the log, committed or not.
     pub(crate) fn configuration(&self) -> &Configuration {
         let latest = self
             .configurations
@@ -121,14 +121,14 @@
         &latest.configuration
     }
 
-    /// The index of the entry that brought the members in force.
+    /// Index of the entry with the latest configuration.
     pub(crate) fn configuration_index(&self) -> LogIndex {
         self.configurations
             .last()
             .map_or(LogIndex(0), |at| at.index)
     }
 
-    /// The members as of the last entry known to be committed.
+    /// The configuration as of the commit index.
     pub(crate) fn committed_configuration(&self) -> &Configuration {
         self.configuration_at(self.committed)
     }
@@ -147,7 +147,7 @@
         self.entries.get(usize::try_from(position).ok()?)
     }
 
-    /// The term of an entry, if it is in the log or is the last one compacted away.
+    /// The term of an entry, if it is in the log or is the last compacted one.
     pub(crate) fn term_at(&self, index: LogIndex) -> Option<Term> {
         if index == self.offset.index {
             return Some(self.offset.term);
@@ -155,7 +155,7 @@
         self.entry(index).map(|entry| entry.term)
     }
 
-    /// Entries from an index on, up to a size; at least one if there is one.
+    /// Entries in `from..=through`, limited to `max_bytes` but always at least one if available.
     pub(crate) fn batch(&self, from: LogIndex, through: LogIndex, max_bytes: usize) -> Vec<Entry> {
         let mut batch = Vec::new();
         let mut size = 0;
@@ -179,7 +179,7 @@
         debug_assert_eq!(entry.index, self.last_index().next());
         if let EntryPayload::Configuration(configuration) = &entry.payload {
             let configuration = configuration.clone();
-            self.configurations.push(ConfigurationAt {
+            self.configurations.push(IndexedConfiguration {
                 index: entry.index,
                 configuration,
             });
@@ -187,9 +187,9 @@
         self.entries.push_back(entry);
     }
 
-    /// Takes over a leader's entries that follow `previous`.
+    /// Merges a leader's entries that follow `previous`, truncating conflicting uncommitted ones.
     ///
-    /// Returns the last index known to be equal to the leader's.
+    /// Returns the last index known to match the leader's log.
     pub(crate) fn merge(
         &mut self,
         previous: LogEnd,
@@ -208,7 +208,7 @@
             match self.term_at(entry.index) {
                 Some(term) if term == entry.term => {}
                 Some(_) if entry.index <= self.committed => {
-                    return Err(MergeError::ReplacesCommitted);
+                    return Err(MergeError::CommittedConflict);
                 }
                 Some(_) => {
                     self.truncate(entry.index);
@@ -220,22 +220,22 @@
         Ok(matched.max(self.offset.index))
     }
 
-    fn conflict(&self, asked: LogIndex) -> MergeError {
-        if asked <= self.committed {
-            return MergeError::ReplacesCommitted;
+    fn conflict(&self, previous: LogIndex) -> MergeError {
+        if previous <= self.committed {
+            return MergeError::CommittedConflict;
         }
-        MergeError::Lacking {
-            hint: self.conflict_hint(asked),
+        MergeError::LogMismatch {
+            hint: self.conflict_hint(previous),
         }
     }
 
-    /// The last index before `asked` that isn't in the term that conflicts.
-    fn conflict_hint(&self, asked: LogIndex) -> LogIndex {
-        if asked > self.last_index() {
+    /// The last index before `previous` whose term differs from the conflicting one.
+    fn conflict_hint(&self, previous: LogIndex) -> LogIndex {
+        if previous > self.last_index() {
             return self.last_index();
         }
-        let term = self.term_at(asked);
-        let mut hint = asked.previous();
+        let term = self.term_at(previous);
+        let mut hint = previous.previous();
         while hint > self.committed && self.term_at(hint) == term {
             hint = hint.previous();
         }
@@ -268,28 +268,28 @@
         self.batch(self.stable.next(), self.last_index(), usize::MAX)
     }
 
-    /// Entries that are committed and durable here, and not applied.
+    /// Entries that are committed and locally durable but not applied.
     pub(crate) fn to_apply(&self) -> Vec<Entry> {
         let through = self.committed.min(self.stable);
         self.batch(self.applied.next(), through, usize::MAX)
     }
 
-    pub(crate) fn has_work(&self) -> bool {
+    pub(crate) fn has_pending_work(&self) -> bool {
         self.stable < self.last_index() || self.applied < self.committed.min(self.stable)
     }
 
-    /// Replaces the log by a leader's snapshot.
+    /// Replaces the log with a leader's snapshot.
     pub(crate) fn install(&mut self, snapshot: Snapshot) {
         *self = Self::from_snapshot(snapshot);
     }
 
-    /// Makes a snapshot of the applied state, and drops entries that lie further back than is
-    /// retained. None if the index isn't applied, or a snapshot reaches as far already.
+    /// Creates a snapshot of the applied state and drops entries beyond the retention limits. Returns
+    /// `None` if the index isn't applied or is covered by the current snapshot.
     pub(crate) fn compact(
         &mut self,
         through: LogIndex,
         data: bytes::Bytes,
-        retained: Retained,
+        retained: RetentionLimits,
     ) -> Option<Snapshot> {
         if through > self.applied || through <= self.snapshot.metadata.index {
             return None;
@@ -300,12 +300,12 @@
             configuration: self.configuration_at(through).clone(),
         };
         self.snapshot = Snapshot { metadata, data };
-        self.drop_through(self.last_not_retained(through, retained));
+        self.drop_through(self.retention_boundary(through, retained));
         Some(self.snapshot.clone())
     }
 
-    /// The last entry before those that may be retained up to `through`.
-    fn last_not_retained(&self, through: LogIndex, retained: Retained) -> LogIndex {
+    /// Index of the newest entry up to `through` that is not retained.
+    fn retention_boundary(&self, through: LogIndex, retained: RetentionLimits) -> LogIndex {
         let mut left = retained.bytes;
         let mut index = through;
         while through.0 - index.0 < retained.entries
@@ -318,8 +318,8 @@
         index
     }
 
-    /// What the entries held in memory count for, in bytes.
-    pub(crate) fn held_bytes(&self) -> usize {
+    /// Accounted size of the entries in memory, in bytes.
+    pub(crate) fn memory_bytes(&self) -> usize {
         self.entries.iter().map(Entry::size_bytes).sum()
     }
 
@@ -341,10 +341,9 @@
     }
 }
 
-/// What is kept of the log behind a snapshot, for followers that are a little late: no more entries,
-/// and no more bytes of them.
+/// Limits on the entries kept behind a snapshot for followers that lag slightly.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Retained {
+pub(crate) struct RetentionLimits {
     pub entries: u64,
     pub bytes: usize,
 }
--- a/crates/courseshed-consensus/tests/losing_members.rs
+++ b/crates/courseshed-consensus/tests/losing_members.rs
@@ -35,7 +35,7 @@
     let now = cluster.now;
     let group = cluster.group(leader);
     let refused = group.propose_membership(now, MembershipChange::Remove(live));
-    let expected = ChangeError::TooFewAlive {
+    let expected = ChangeError::InsufficientActiveVoters {
         alive: 1,
         needed: 2,
     };
