--- a/crates/courseshed-consensus/src/storage/disk/files.rs
+++ b/crates/courseshed-consensus/src/storage/disk/files.rs
@@ -1,4 +1,4 @@
-//! Files that are replaced atomically, and the errors of the system with their context.
+//! Atomic file replacement and I/O helpers that add context to errors.
 
 use std::fs::{self, File};
 use std::io::{self, Write};
@@ -9,10 +9,10 @@
 use crate::StorageError;
 use crate::storage::IoSnafu;
 
-const UNFINISHED_SUFFIX: &str = "unfinished";
+const TEMPORARY_EXTENSION: &str = "unfinished";
 
-/// Adds what was tried, and on which file, to an error of the system.
-pub(super) fn at<T>(
+/// Adds the operation and the path to an I/O error.
+pub(super) fn with_context<T>(
     result: io::Result<T>,
     operation: &'static str,
     path: &Path,
@@ -20,53 +20,53 @@
     result.context(IoSnafu { operation, path })
 }
 
-/// Creates a folder with its ancestors, durably.
-pub(super) fn create_folder(path: &Path) -> Result<(), StorageError> {
-    at(fs::create_dir_all(path), "create", path)?;
+/// Creates a directory with its ancestors and flushes its parent.
+pub(super) fn create_directory(path: &Path) -> Result<(), StorageError> {
+    with_context(fs::create_dir_all(path), "create", path)?;
     match path
         .parent()
         .filter(|parent| !parent.as_os_str().is_empty())
     {
-        Some(parent) => flush_folder(parent),
+        Some(parent) => flush_directory(parent),
         None => Ok(()),
     }
 }
 
-/// Makes the names in a folder durable.
-pub(super) fn flush_folder(path: &Path) -> Result<(), StorageError> {
-    let folder = at(File::open(path), "open", path)?;
-    at(folder.sync_all(), "flush", path)
+/// Flushes a directory, which makes file creations and renames in it durable.
+pub(super) fn flush_directory(path: &Path) -> Result<(), StorageError> {
+    let directory = with_context(File::open(path), "open", path)?;
+    with_context(directory.sync_all(), "flush", path)
 }
 
-/// Replaces a file's content: after a crash it is the old one or the new one, whole.
+/// Atomically replaces a file: after a crash it has either the old or the new content.
 pub(super) fn replace(path: &Path, content: &[u8]) -> Result<(), StorageError> {
-    let unfinished = unfinished(path);
-    let mut file = at(File::create(&unfinished), "create", &unfinished)?;
-    at(file.write_all(content), "write", &unfinished)?;
-    at(file.sync_all(), "flush", &unfinished)?;
-    at(fs::rename(&unfinished, path), "rename", &unfinished)?;
-    flush_folder(path.parent().unwrap_or(Path::new(".")))
+    let temporary = temporary_path(path);
+    let mut file = with_context(File::create(&temporary), "create", &temporary)?;
+    with_context(file.write_all(content), "write", &temporary)?;
+    with_context(file.sync_all(), "flush", &temporary)?;
+    with_context(fs::rename(&temporary, path), "rename", &temporary)?;
+    flush_directory(path.parent().unwrap_or(Path::new(".")))
 }
 
-/// Deletes what an interrupted [`replace`] left behind.
-pub(super) fn remove_unfinished(path: &Path) -> Result<(), StorageError> {
-    let unfinished = unfinished(path);
-    match fs::remove_file(&unfinished) {
+/// Removes the temporary file of an interrupted [`replace`].
+pub(super) fn remove_temporary(path: &Path) -> Result<(), StorageError> {
+    let temporary = temporary_path(path);
+    match fs::remove_file(&temporary) {
         Err(error) if error.kind() != io::ErrorKind::NotFound => {
-            at(Err(error), "remove", &unfinished)
+            with_context(Err(error), "remove", &temporary)
         }
         _ => Ok(()),
     }
 }
 
-/// A file's content; none if there is no file.
+/// Reads a file; `None` if it doesn't exist.
 pub(super) fn read(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     match fs::read(path) {
         Err(error) if error.kind() == io::ErrorKind::NotFound => Ok(None),
-        content => at(content, "read", path).map(Some),
+        content => with_context(content, "read", path).map(Some),
     }
 }
 
-fn unfinished(path: &Path) -> PathBuf {
-    path.with_extension(UNFINISHED_SUFFIX)
+fn temporary_path(path: &Path) -> PathBuf {
+    path.with_extension(TEMPORARY_EXTENSION)
 }
--- a/crates/courseshed-consensus/src/storage/disk/mod.rs
+++ b/crates/courseshed-consensus/src/storage/disk/mod.rs
@@ -1,12 +1,13 @@
-//! A storage in one folder of a disk.
+//! Log storage in a directory on disk.
 //!
 //! Files: `lock`, held while open; `incarnation`, written once; `snapshot`, replaced atomically; and
-//! `log`, to which frames are appended and flushed. A compaction writes the snapshot first and then
-//! replaces the log, so a crash between the two leaves entries that the snapshot covers: they are
-//! skipped.
+//! `log`, to which frames are appended and flushed. A compaction writes the snapshot and then
+//! replaces the log. A crash between the two leaves log entries that the snapshot covers; loading
+//! skips them.
 //!
-//! Invariants: nothing is acknowledged before it is flushed; an unfinished frame at the end is cut;
-//! damage anywhere else is refused; after a failed write nothing is written until reopened.
+//! Invariants: writes are flushed before they are acknowledged; an incomplete frame at the end of the
+//! log is truncated; corruption anywhere else is an error; after a failed write all later writes fail
+//! until the storage is reopened.
 
 mod files;
 pub mod frame;
@@ -26,7 +27,7 @@
 const SNAPSHOT_FILE: &str = "snapshot";
 const LOG_FILE: &str = "log";
 
-/// One write to the log file, whole or not there.
+/// One atomic write to the log file.
 #[derive(Serialize, Deserialize)]
 struct Record {
     hard_state: Option<HardState>,
@@ -35,20 +36,20 @@
     committed: LogIndex,
 }
 
-/// What the log file holds.
+/// The content of the log file.
 #[derive(Default)]
 struct LogContent {
     hard_state: HardState,
     entries: Vec<Entry>,
     committed: LogIndex,
-    /// Length of the readable part in bytes.
+    /// Length of the valid part in bytes.
     length: u64,
 }
 
-/// A storage in one folder, which it locks.
+/// Log storage in a directory, locked for exclusive use.
 #[derive(Debug)]
 pub struct DiskLog {
-    folder: PathBuf,
+    directory: PathBuf,
     incarnation: u64,
     log: File,
     committed: LogIndex,
@@ -57,24 +58,27 @@
 }
 
 impl DiskLog {
-    /// Opens a folder, or makes it. A new folder belongs to the incarnation given; an existing one
-    /// keeps its own.
+    /// Opens a storage directory, creating it if missing. A new directory is assigned the given
+    /// incarnation; an existing one keeps its own.
     ///
-    /// A replica whose folder was lost must get an incarnation here that it never had before.
+    /// A replica whose directory was lost must be given an incarnation that it never used before.
     ///
     /// # Errors
-    /// [`StorageError`] when the folder is in use, can't be written, or is damaged.
-    pub fn open(folder: impl Into<PathBuf>, incarnation_if_new: u64) -> Result<Self, StorageError> {
-        let folder = folder.into();
-        files::create_folder(&folder)?;
-        let lock = lock(&folder.join(LOCK_FILE))?;
+    /// [`StorageError`] if the directory is in use, not writable, or corrupted.
+    pub fn open(
+        directory: impl Into<PathBuf>,
+        initial_incarnation: u64,
+    ) -> Result<Self, StorageError> {
+        let directory = directory.into();
+        files::create_directory(&directory)?;
+        let lock = lock(&directory.join(LOCK_FILE))?;
         for name in [INCARNATION_FILE, SNAPSHOT_FILE, LOG_FILE] {
-            files::remove_unfinished(&folder.join(name))?;
+            files::remove_temporary(&directory.join(name))?;
         }
-        let incarnation = open_incarnation(&folder, incarnation_if_new)?;
-        let log = open_log(&folder)?;
+        let incarnation = open_incarnation(&directory, initial_incarnation)?;
+        let log = open_log(&directory)?;
         Ok(Self {
-            folder,
+            directory,
             incarnation,
             log,
             committed: LogIndex(0),
@@ -83,31 +87,31 @@
         })
     }
 
-    /// Whether a folder holds a log, whole or not.
+    /// Whether a directory contains any file of a log storage.
     #[must_use]
-    pub fn is_kept_in(folder: &Path) -> bool {
+    pub fn is_kept_in(directory: &Path) -> bool {
         let files = [INCARNATION_FILE, SNAPSHOT_FILE, LOG_FILE];
-        files.iter().any(|name| folder.join(name).exists())
+        files.iter().any(|name| directory.join(name).exists())
     }
 
-    /// The incarnation that this folder belongs to.
+    /// The incarnation stored in this directory.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
-    /// The folder.
+    /// Path of the directory.
     #[must_use]
-    pub fn folder(&self) -> &Path {
-        &self.folder
+    pub fn directory(&self) -> &Path {
+        &self.directory
     }
 
     fn path(&self, name: &str) -> PathBuf {
-        self.folder.join(name)
+        self.directory.join(name)
     }
 
-    /// Runs a write; after a failed one, refuses all others.
-    fn guarded(
+    /// Runs a write, unless an earlier one failed.
+    fn run_write(
         &mut self,
         write: impl FnOnce(&mut Self) -> Result<(), StorageError>,
     ) -> Result<(), StorageError> {
@@ -118,14 +122,14 @@
     }
 
     fn read_snapshot(&self) -> Result<Option<Snapshot>, StorageError> {
-        read_whole(&self.path(SNAPSHOT_FILE))
+        read_single_frame(&self.path(SNAPSHOT_FILE))
     }
 
     fn write_snapshot(&self, snapshot: &Snapshot) -> Result<(), StorageError> {
         files::replace(&self.path(SNAPSHOT_FILE), &frame::encode(snapshot))
     }
 
-    /// Replaces the log by one that holds only this.
+    /// Replaces the log with a single record.
     fn replace_log(
         &mut self,
         hard_state: HardState,
@@ -138,7 +142,7 @@
             committed: self.committed,
         };
         files::replace(&path, &frame::encode(&record))?;
-        self.log = open_log(&self.folder)?;
+        self.log = open_log(&self.directory)?;
         Ok(())
     }
 
@@ -154,15 +158,15 @@
         let path = self.path(LOG_FILE);
         let snapshot = self.read_snapshot()?;
         let content = self.read_log()?;
-        files::at(self.log.set_len(content.length), "cut", &path)?;
-        files::at(self.log.sync_all(), "flush", &path)?;
-        files::at(self.log.seek(SeekFrom::End(0)), "seek in", &path)?;
+        files::with_context(self.log.set_len(content.length), "truncate", &path)?;
+        files::with_context(self.log.sync_all(), "flush", &path)?;
+        files::with_context(self.log.seek(SeekFrom::End(0)), "seek in", &path)?;
         self.committed = content.committed;
         let covered = snapshot
             .as_ref()
             .map_or(LogIndex(0), |snapshot| snapshot.metadata.index);
-        let entries = after(content.entries, covered);
-        check_joined(&path, covered, &entries)?;
+        let entries = entries_after(content.entries, covered);
+        check_contiguous(&path, covered, &entries)?;
         Ok(Restored {
             incarnation: Some(self.incarnation),
             hard_state: content.hard_state,
@@ -186,15 +190,15 @@
             entries: entries.to_vec(),
             committed: self.committed,
         });
-        self.guarded(|disk| {
+        self.run_write(|disk| {
             let path = disk.path(LOG_FILE);
-            files::at(disk.log.write_all(&frame), "write", &path)?;
-            files::at(disk.log.sync_data(), "flush", &path)
+            files::with_context(disk.log.write_all(&frame), "write", &path)?;
+            files::with_context(disk.log.sync_data(), "flush", &path)
         })
     }
 
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), StorageError> {
-        self.guarded(|disk| {
+        self.run_write(|disk| {
             let hard_state = disk.read_log()?.hard_state;
             disk.write_snapshot(snapshot)?;
             disk.replace_log(hard_state, Vec::new())
@@ -202,31 +206,31 @@
     }
 
     fn compact(&mut self, snapshot: &Snapshot, first_kept: LogIndex) -> Result<(), StorageError> {
-        self.guarded(|disk| {
+        self.run_write(|disk| {
             let content = disk.read_log()?;
             disk.write_snapshot(snapshot)?;
-            let entries = after(content.entries, first_kept.previous());
+            let entries = entries_after(content.entries, first_kept.previous());
             disk.replace_log(content.hard_state, entries)
         })
     }
 }
 
 fn lock(path: &Path) -> Result<File, StorageError> {
-    let file = files::at(File::create(path), "create", path)?;
+    let file = files::with_context(File::create(path), "create", path)?;
     match file.try_lock() {
         Ok(()) => Ok(file),
         Err(TryLockError::WouldBlock) => LockedSnafu { path }.fail(),
-        Err(TryLockError::Error(error)) => files::at(Err(error), "lock", path),
+        Err(TryLockError::Error(error)) => files::with_context(Err(error), "lock", path),
     }
 }
 
-fn open_incarnation(folder: &Path, incarnation_if_new: u64) -> Result<u64, StorageError> {
-    let path = folder.join(INCARNATION_FILE);
-    if let Some(incarnation) = read_whole(&path)? {
+fn open_incarnation(directory: &Path, initial_incarnation: u64) -> Result<u64, StorageError> {
+    let path = directory.join(INCARNATION_FILE);
+    if let Some(incarnation) = read_single_frame(&path)? {
         return Ok(incarnation);
     }
-    let has_content = folder.join(LOG_FILE).exists() || folder.join(SNAPSHOT_FILE).exists();
-    let reason = "there is a log but not the incarnation it belongs to";
+    let has_content = directory.join(LOG_FILE).exists() || directory.join(SNAPSHOT_FILE).exists();
+    let reason = "log or snapshot exists but the incarnation file is missing";
     ensure!(
         !has_content,
         DamagedSnafu {
@@ -235,21 +239,23 @@
             reason
         }
     );
-    files::replace(&path, &frame::encode(&incarnation_if_new))?;
-    Ok(incarnation_if_new)
+    files::replace(&path, &frame::encode(&initial_incarnation))?;
+    Ok(initial_incarnation)
 }
 
-fn open_log(folder: &Path) -> Result<File, StorageError> {
-    let path = folder.join(LOG_FILE);
+fn open_log(directory: &Path) -> Result<File, StorageError> {
+    let path = directory.join(LOG_FILE);
     let mut options = OpenOptions::new();
     options.read(true).append(true).create(true);
-    let log = files::at(options.open(&path), "open", &path)?;
-    files::flush_folder(folder)?;
+    let log = files::with_context(options.open(&path), "open", &path)?;
+    files::flush_directory(directory)?;
     Ok(log)
 }
 
-/// Reads a file of one frame; none if there is no file.
-fn read_whole<T: serde::de::DeserializeOwned>(path: &Path) -> Result<Option<T>, StorageError> {
+/// Reads a file that consists of one frame; `None` if it doesn't exist.
+fn read_single_frame<T: serde::de::DeserializeOwned>(
+    path: &Path,
+) -> Result<Option<T>, StorageError> {
     let Some(bytes) = files::read(path)? else {
         return Ok(None);
     };
@@ -272,7 +278,7 @@
         let rest = &bytes[offset..];
         let (payload, size) = match frame::split(rest) {
             Ok(frame) => frame,
-            Err(_) if !frame::any_in(&rest[1..]) => break,
+            Err(_) if !frame::contains_frame(&rest[1..]) => break,
             Err(bad) => {
                 let reason = bad.reason();
                 return DamagedSnafu {
@@ -291,10 +297,10 @@
             }
             .build()
         })?;
-        content.take(record).with_context(|| DamagedSnafu {
+        content.apply(record).with_context(|| DamagedSnafu {
             path,
             offset: offset as u64,
-            reason: "entries are missing before this record",
+            reason: "gap in the log before this record",
         })?;
         offset += size;
     }
@@ -303,8 +309,8 @@
 }
 
 impl LogContent {
-    /// Takes in a record; none if its entries don't follow those before.
-    fn take(&mut self, record: Record) -> Option<()> {
+    /// Applies a record; `None` if its entries would leave a gap.
+    fn apply(&mut self, record: Record) -> Option<()> {
         self.hard_state = record.hard_state.unwrap_or(self.hard_state);
         self.committed = self.committed.max(record.committed);
         for entry in record.entries {
@@ -314,7 +320,7 @@
         Some(())
     }
 
-    /// Where an entry with this index belongs; none if there would be a gap.
+    /// Position for an entry with this index; `None` if it would leave a gap.
     fn position(&self, index: LogIndex) -> Option<usize> {
         let Some(first) = self.entries.first() else {
             return Some(0);
@@ -324,21 +330,21 @@
     }
 }
 
-fn after(entries: Vec<Entry>, index: LogIndex) -> Vec<Entry> {
+fn entries_after(entries: Vec<Entry>, index: LogIndex) -> Vec<Entry> {
     entries
         .into_iter()
         .filter(|entry| entry.index > index)
         .collect()
 }
 
-/// Checks that the entries start where the snapshot ends.
-fn check_joined(path: &Path, covered: LogIndex, entries: &[Entry]) -> Result<(), StorageError> {
-    let is_joined = entries
+/// Checks that there is no gap between the snapshot and the first entry.
+fn check_contiguous(path: &Path, covered: LogIndex, entries: &[Entry]) -> Result<(), StorageError> {
+    let is_contiguous = entries
         .first()
         .is_none_or(|entry| entry.index == covered.next());
-    let reason = "entries are missing between the snapshot and the log";
+    let reason = "gap between the snapshot and the log";
     ensure!(
-        is_joined,
+        is_contiguous,
         DamagedSnafu {
             path,
             offset: 0_u64,
--- a/crates/courseshed-consensus/src/storage/faulty.rs
+++ b/crates/courseshed-consensus/src/storage/faulty.rs
@@ -1,4 +1,4 @@
-//! A storage that fails when it is told to, for tests of what a failing disk does to a group.
+//! Log storage with fault injection, for testing disk failures.
 
 use std::sync::{Arc, Mutex, PoisonError};
 
@@ -6,24 +6,24 @@
 use crate::{Entry, HardState, LogIndex, LogStorage, Restored, Snapshot, StorageError};
 use snafu::IntoError;
 
-/// How the next writes end.
+/// The fault to inject into writes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
-    /// They succeed.
+    /// Writes succeed.
     #[default]
     None,
-    /// They fail with nothing written, as on a full disk.
+    /// Writes fail and nothing is written, as on a full disk.
     Full,
-    /// They fail with the first half of the entries written, as on a failing disk.
+    /// Writes fail after the first half of the entries was written, as on a failing disk.
     Torn,
 }
 
-/// Sets the fault of a [`FaultyLog`] from outside.
+/// A shared handle that selects the fault of a [`FaultyLog`].
 #[derive(Clone, Debug, Default)]
 pub struct FaultSwitch(Arc<Mutex<DiskFault>>);
 
 impl FaultSwitch {
-    /// Lets all later writes end like this.
+    /// Sets the fault for all later writes.
     pub fn set(&self, fault: DiskFault) {
         *self.0.lock().unwrap_or_else(PoisonError::into_inner) = fault;
     }
@@ -33,7 +33,7 @@
     }
 }
 
-/// Wraps a storage whose writes fail when its switch says so.
+/// A wrapper around a storage that injects the fault selected by its switch.
 #[derive(Debug)]
 pub struct FaultyLog<S> {
     inner: S,
@@ -41,13 +41,13 @@
 }
 
 impl<S: LogStorage> FaultyLog<S> {
-    /// Wraps a storage.
+    /// Wraps a storage, with the fault set by `switch`.
     pub fn new(inner: S, switch: FaultSwitch) -> Self {
         Self { inner, switch }
     }
 
     fn check(&self) -> Result<(), StorageError> {
-        ensure_working(self.switch.get())
+        injected_result(self.switch.get())
     }
 }
 
@@ -84,7 +84,7 @@
     }
 }
 
-fn ensure_working(fault: DiskFault) -> Result<(), StorageError> {
+fn injected_result(fault: DiskFault) -> Result<(), StorageError> {
     let kind = match fault {
         DiskFault::None => return Ok(()),
         DiskFault::Full => std::io::ErrorKind::StorageFull,
--- a/crates/courseshed-consensus/src/storage/mod.rs
+++ b/crates/courseshed-consensus/src/storage/mod.rs
@@ -1,7 +1,7 @@
-//! Where a replica keeps what must outlive its process.
+//! Persistent storage of a replica's log, hard state and snapshot.
 //!
-//! Invariant: when a write returns, it is durable. When a write fails, nothing more is written until
-//! the storage is opened anew, since a failed flush leaves the file's content unknown.
+//! Invariant: a write is durable when it returns. After a failed write all later writes fail until
+//! the storage is reopened, since a failed flush leaves the file's content unknown.
 
 mod disk;
 mod faulty;
@@ -18,72 +18,72 @@
 pub use faulty::{DiskFault, FaultSwitch, FaultyLog};
 pub use volatile::VolatileLog;
 
-/// Keeps term, vote, entries and snapshot of one replica.
+/// Stores the term, vote, entries and snapshot of one replica.
 pub trait LogStorage {
-    /// Reads all that was kept. Called once, before any write.
+    /// Reads the stored state. Called once, before any write.
     ///
     /// # Errors
-    /// [`StorageError`] when the content can't be read or is damaged.
+    /// [`StorageError`] if the content can't be read or is corrupted.
     fn load(&mut self) -> Result<Restored, StorageError>;
 
-    /// Makes a hard state and entries durable. The entries replace all from the first one's index.
+    /// Persists a hard state and entries. Existing entries from the first new index on are replaced.
     ///
     /// # Errors
-    /// [`StorageError`]; any part of the write may be durable.
+    /// [`StorageError`]; the write may be partially durable.
     fn append(
         &mut self,
         hard_state: Option<&HardState>,
         entries: &[Entry],
     ) -> Result<(), StorageError>;
 
-    /// Notes how far the log is known to be committed, to be kept with the next write. It need not
-    /// be durable: a replica that forgets it learns it again from the leader.
+    /// Sets the commit index to be stored with the next write. It may be lost in a crash: the replica
+    /// learns it again from the leader.
     fn note_committed(&mut self, index: LogIndex);
 
-    /// Makes a leader's snapshot durable, which replaces all entries.
+    /// Persists a leader's snapshot and removes all entries.
     ///
     /// # Errors
-    /// [`StorageError`]; the earlier content or the new one stays whole.
+    /// [`StorageError`]; the storage then has either the old or the new content.
     fn install(&mut self, snapshot: &Snapshot) -> Result<(), StorageError>;
 
-    /// Makes a snapshot of this replica durable. Entries before `first_kept` are needed no more.
+    /// Persists a snapshot of this replica. Entries before `first_kept` may be removed.
     ///
     /// # Errors
-    /// [`StorageError`]; the earlier content or the new one stays whole.
+    /// [`StorageError`]; the storage then has either the old or the new content.
     fn compact(&mut self, snapshot: &Snapshot, first_kept: LogIndex) -> Result<(), StorageError>;
 }
 
-/// Why a storage can't be used.
+/// Errors of a log storage.
 #[derive(Debug, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum StorageError {
-    /// The operating system refused an operation: the disk is full, failing, or not ours.
-    #[snafu(display("can't {operation} {}: {source}", path.display()))]
+    /// An I/O operation failed.
+    #[snafu(display("cannot {operation} {}: {source}", path.display()))]
     Io {
-        /// What was tried.
+        /// The operation.
         operation: &'static str,
-        /// On which file or folder.
+        /// The file or directory.
         path: PathBuf,
-        /// The system's error.
+        /// The I/O error.
         source: io::Error,
     },
-    /// Another process uses the folder.
+    /// The lock file is held by another process.
     #[snafu(display("{} is in use by another process", path.display()))]
     Locked {
-        /// The folder.
+        /// The lock file.
         path: PathBuf,
     },
-    /// The content is not what was written, other than an unfinished last write.
-    #[snafu(display("{} is damaged at byte {offset}: {reason}; restore the replica from the others", path.display()))]
+    /// The content is corrupted, other than by an incomplete last write.
+    #[snafu(display("{} is corrupted at byte {offset}: {reason}; rebuild this replica from the other replicas", path.display()))]
     Damaged {
         /// The file.
         path: PathBuf,
-        /// Where, in bytes from its start.
+        /// The offset in the file, in bytes.
         offset: u64,
-        /// What is wrong.
+        /// A description of the corruption.
         reason: String,
     },
-    /// A write failed earlier; the storage must be opened anew.
+    /// An earlier write failed; the storage must be reopened.
     #[snafu(display("an earlier write failed; the storage must be reopened"))]
     Failed,
 }
--- a/crates/courseshed-consensus/src/storage/volatile.rs
+++ b/crates/courseshed-consensus/src/storage/volatile.rs
@@ -1,11 +1,11 @@
-//! A storage that keeps nothing, for replicas on machines without disks.
+//! A log storage that stores nothing, for replicas on machines without disks.
 //!
-//! Invariant: since it forgets votes and acknowledged entries, whoever uses it must give the replica
-//! a higher incarnation at each start. The log itself lives in the peer's memory.
+//! Votes and acknowledged entries are lost on restart, so the replica must be given a higher
+//! incarnation at each start. The log is kept in the peer's memory.
 
 use crate::{Entry, HardState, LogIndex, LogStorage, Restored, Snapshot, StorageError};
 
-/// Keeps nothing. The replica must get a new, higher incarnation at each start.
+/// Stores nothing. The replica must be given a higher incarnation at each start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct VolatileLog;
 
--- a/crates/courseshed-consensus/tests/disk.rs
+++ b/crates/courseshed-consensus/tests/disk.rs
@@ -1,4 +1,5 @@
-//! What the disk storage keeps, cuts, and refuses; and what a failing disk does to a group.
+//! Recovery of the disk storage after crashes and corruption, and the effect of disk failures on a
+//! group.
 
 mod support;
 
@@ -25,7 +26,7 @@
 }
 
 fn open(folder: &Path) -> DiskLog {
-    DiskLog::open(folder, INCARNATION).expect("the folder opens")
+    DiskLog::open(folder, INCARNATION).expect("the directory can be opened")
 }
 
 fn reload(folder: &Path) -> Result<Restored, StorageError> {
@@ -58,7 +59,7 @@
 }
 
 #[test]
-fn keeps_what_was_written() {
+fn reload_restores_hard_state_and_entries() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 3);
     let restored = reload(folder.path()).unwrap();
@@ -88,62 +89,62 @@
 }
 
 #[test]
-fn every_cut_of_the_last_record_loses_that_record_alone() {
+fn truncation_within_the_last_record_loses_only_that_record() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 2);
     let log = folder.path().join("log");
-    let shorter = fs::read(&log).unwrap().len();
+    let complete_length = fs::read(&log).unwrap().len();
     let mut disk = open(folder.path());
     disk.load().unwrap();
     disk.append(None, &[entry(3, 1)]).unwrap();
     drop(disk);
     let whole = fs::read(&log).unwrap();
-    for length in shorter..whole.len() {
+    for length in complete_length..whole.len() {
         fs::write(&log, &whole[..length]).unwrap();
         let restored = reload(folder.path()).unwrap();
         assert_eq!(
             restored.entries,
             vec![entry(1, 1), entry(2, 1)],
-            "cut at {length}"
+            "truncated at {length} bytes"
         );
         assert_eq!(
             fs::read(&log).unwrap().len(),
-            shorter,
-            "the torn tail is cut"
+            complete_length,
+            "the incomplete record is truncated"
         );
     }
 }
 
 #[test]
-fn every_flipped_byte_before_the_last_record_is_refused() {
+fn corruption_before_the_last_record_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 2);
     let log = folder.path().join("log");
-    let protected = fs::read(&log).unwrap().len();
+    let checked_length = fs::read(&log).unwrap().len();
     let mut disk = open(folder.path());
     disk.load().unwrap();
     disk.append(None, &[entry(3, 1)]).unwrap();
     drop(disk);
     let whole = fs::read(&log).unwrap();
-    for position in 0..protected {
+    for position in 0..checked_length {
         let mut damaged = whole.clone();
         damaged[position] ^= 0x40;
         fs::write(&log, &damaged).unwrap();
-        let refused = reload(folder.path());
+        let rejected = reload(folder.path());
         assert!(
-            matches!(refused, Err(StorageError::Damaged { .. })),
-            "byte {position}"
+            matches!(rejected, Err(StorageError::Damaged { .. })),
+            "corruption at byte {position} is not rejected"
         );
         assert_eq!(
             fs::read(&log).unwrap(),
             damaged,
-            "a damaged log is left as it is"
+            "a corrupted log is not modified"
         );
     }
 }
 
 #[test]
-fn compaction_drops_what_the_snapshot_covers() {
+fn compaction_removes_entries_covered_by_the_snapshot() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 4);
     let mut disk = open(folder.path());
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn crash_between_snapshot_and_log_is_harmless() {
+fn reload_recovers_from_a_crash_between_snapshot_and_log_replacement() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 4);
     let log = folder.path().join("log");
@@ -175,7 +176,7 @@
 }
 
 #[test]
-fn gap_between_snapshot_and_log_is_refused() {
+fn gap_between_snapshot_and_log_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 4);
     let mut disk = open(folder.path());
@@ -190,7 +191,7 @@
 }
 
 #[test]
-fn folder_serves_one_process_and_keeps_its_incarnation() {
+fn directory_is_locked_and_keeps_its_incarnation() {
     let folder = tempfile::tempdir().unwrap();
     let first = open(folder.path());
     let second = DiskLog::open(folder.path(), 7);
@@ -201,12 +202,12 @@
 }
 
 #[test]
-fn log_without_its_incarnation_is_refused() {
+fn log_without_an_incarnation_file_is_rejected() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 1);
     fs::remove_file(folder.path().join("incarnation")).unwrap();
-    let refused = DiskLog::open(folder.path(), 2);
-    assert!(matches!(refused, Err(StorageError::Damaged { .. })));
+    let rejected = DiskLog::open(folder.path(), 2);
+    assert!(matches!(rejected, Err(StorageError::Damaged { .. })));
 }
 
 fn disk_cluster(folder: &Path) -> (Cluster<FaultyLog<DiskLog>>, Vec<FaultSwitch>) {
@@ -222,7 +223,7 @@
 }
 
 #[parameterized(full = { DiskFault::Full }, failing = { DiskFault::Torn })]
-fn leader_with_a_failing_disk_hands_over_without_lying(fault: DiskFault) {
+fn leader_with_a_failed_disk_steps_down_and_rejects_proposals(fault: DiskFault) {
     let folder = tempfile::tempdir().unwrap();
     let (mut cluster, switches) = disk_cluster(folder.path());
     cluster.propose(b"before");
@@ -232,9 +233,11 @@
     assert!(!cluster.group(old).is_leader());
     assert!(cluster.group(old).failure().is_some());
     let now = cluster.now;
-    let refused = cluster.group(old).propose(now, b"after".to_vec());
-    assert_eq!(refused, Err(ProposeError::StorageFailed));
-    let new = cluster.leader().expect("another replica leads at once");
+    let rejected = cluster.group(old).propose(now, b"after".to_vec());
+    assert_eq!(rejected, Err(ProposeError::StorageFailed));
+    let new = cluster
+        .leader()
+        .expect("another replica is elected immediately");
     cluster.propose(b"after");
     assert!(cluster.group(new).machine().0.contains(&b"after".to_vec()));
 }
@@ -253,7 +256,7 @@
 }
 
 #[test]
-fn what_was_known_to_be_committed_is_kept_with_the_next_write() {
+fn commit_index_is_persisted_with_the_next_write() {
     let folder = tempfile::tempdir().unwrap();
     write_entries(folder.path(), 3);
     let mut disk = open(folder.path());
@@ -270,9 +273,9 @@
     assert_eq!(reload(folder.path()).unwrap().committed, LogIndex(3));
 }
 
-/// Found by days that end with a loss of all power: replicas knew nothing until one of them led.
+/// Guards against a restarted replica applying nothing until a leader is elected.
 #[test]
-fn a_replica_that_starts_alone_has_what_it_knew_to_be_committed() {
+fn restarted_replica_applies_committed_entries_without_a_leader() {
     let folder = tempfile::tempdir().unwrap();
     let (mut cluster, _) = disk_cluster(folder.path());
     for number in 0..10_u8 {
