--- a/crates/courseshed-consensus/src/configuration.rs
+++ b/crates/courseshed-consensus/src/configuration.rs
@@ -1,9 +1,9 @@
-//! The members of a group, and the changes that may be made to them.
+//! Group membership and membership changes.
 //!
-//! Invariant: one change adds or removes at most one voter, so that every majority of the members
-//! before it meets every majority of the members after it (Ongaro, "Consensus: Bridging Theory and
-//! Practice", section 4.1). A replica that returns without its state therefore takes two changes:
-//! its earlier incarnation stops voting, and later the new one starts.
+//! Invariant: a change adds or removes at most one voter, so that every majority before it overlaps
+//! every majority after it (Ongaro, "Consensus: Bridging Theory and Practice", section 4.1).
+//! Readmitting a replica that lost its state therefore takes two changes: the old incarnation is
+//! replaced by a non-voter, which is later promoted.
 
 use std::collections::BTreeMap;
 
@@ -12,85 +12,85 @@
 
 use crate::{ReplicaAddress, ReplicaId};
 
-/// What a member takes part in.
+/// The role of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MemberRole {
-    /// Votes, and counts towards commits.
+    /// Votes in elections and counts towards the commit quorum.
     Voter,
-    /// Receives the log; the leader makes it a voter once it has caught up.
+    /// Receives the log; the leader promotes it to voter once it has caught up.
     Joining,
-    /// Receives the log, until it is promoted explicitly.
+    /// Receives the log; becomes a voter only by explicit promotion.
     Learner,
 }
 
 /// One member of a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Member {
-    /// The life of the replica that was admitted; other lives don't count.
+    /// The admitted incarnation; votes and acknowledgements of others are ignored.
     pub incarnation: u64,
-    /// What it takes part in.
+    /// The member's role.
     pub role: MemberRole,
 }
 
-/// A change of at most one voter.
+/// A membership change that affects at most one voter.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MembershipChange {
-    /// Adds a member that receives the log without voting.
+    /// Adds a learner.
     AddLearner(ReplicaAddress),
-    /// Adds a member that the leader makes a voter once it has caught up.
+    /// Adds a member that the leader promotes to voter once it has caught up.
     AddVoter(ReplicaAddress),
-    /// Lets a member vote that receives the log already.
+    /// Promotes a non-voting member to voter.
     PromoteLearner(ReplicaId),
-    /// Takes a member out.
+    /// Removes a member.
     Remove(ReplicaId),
-    /// Replaces a member by a later incarnation of it, which doesn't vote until promoted.
+    /// Replaces a member with a later incarnation, which doesn't vote until promoted.
     Readmit(ReplicaAddress),
 }
 
-/// Why a membership change makes no sense for the present members.
+/// Errors of a membership change that is invalid for the current members.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Snafu)]
 #[snafu(visibility(pub(crate)))]
 pub enum MembershipError {
-    /// The replica is a member already.
-    #[snafu(display("replica {replica} is a member already"))]
+    /// The replica is already a member.
+    #[snafu(display("replica {replica} is already a member"))]
     AlreadyMember {
         /// The replica in question.
         replica: ReplicaId,
     },
-    /// The replica is no member.
+    /// The replica is not a member.
     #[snafu(display("replica {replica} is not a member"))]
     UnknownMember {
         /// The replica in question.
         replica: ReplicaId,
     },
-    /// The replica votes already.
-    #[snafu(display("replica {replica} is a voter already"))]
+    /// The replica is already a voter.
+    #[snafu(display("replica {replica} is already a voter"))]
     AlreadyVoter {
         /// The replica in question.
         replica: ReplicaId,
     },
-    /// The incarnation isn't later than the one that is a member.
-    #[snafu(display("{address} is not a later incarnation of its replica"))]
+    /// The incarnation is not later than the admitted one.
+    #[snafu(display("{address} is not later than the admitted incarnation of the replica"))]
     StaleIncarnation {
         /// The replica and incarnation in question.
         address: ReplicaAddress,
     },
-    /// The group would be left without voters.
-    #[snafu(display("replica {replica} is the only voter"))]
+    /// The change would leave the group without voters.
+    #[snafu(display("replica {replica} is the only voter of the group"))]
     LastVoter {
         /// The replica in question.
         replica: ReplicaId,
     },
 }
 
-/// The members of a group at one point of its log.
+/// The members of a group as of a log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Configuration {
     members: BTreeMap<ReplicaId, Member>,
 }
 
 impl Configuration {
-    /// A group whose members all vote: the one to bootstrap with.
+    /// A configuration with only voters, for bootstrapping a group.
     pub fn of_voters(voters: impl IntoIterator<Item = ReplicaAddress>) -> Self {
         let members = voters
             .into_iter()
@@ -99,67 +99,67 @@
         Self { members }
     }
 
-    /// Number of members of any role.
+    /// Number of members, including non-voters.
     #[must_use]
     pub fn len(&self) -> usize {
         self.members.len()
     }
 
-    /// Whether there are no members: the replica has not joined a group yet.
+    /// Whether there are no members, as in a replica that has not joined its group yet.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.members.is_empty()
     }
 
-    /// The member with this id, in whichever incarnation.
+    /// The member with this ID, in any incarnation.
     #[must_use]
     pub fn member(&self, replica: ReplicaId) -> Option<Member> {
         self.members.get(&replica).copied()
     }
 
-    /// All members, by id.
+    /// All members in ascending order of their IDs.
     pub fn members(&self) -> impl Iterator<Item = (ReplicaId, Member)> + '_ {
         self.members.iter().map(|(id, member)| (*id, *member))
     }
 
-    /// The ids of the voters, ascending.
+    /// The IDs of the voters in ascending order.
     pub fn voters(&self) -> impl Iterator<Item = ReplicaId> + '_ {
         self.members()
             .filter(|(_, member)| member.role == MemberRole::Voter)
             .map(|(id, _)| id)
     }
 
-    /// Whether this very incarnation is a member.
+    /// Whether this incarnation of the replica is a member.
     #[must_use]
     pub fn contains(&self, address: ReplicaAddress) -> bool {
         self.member(address.replica)
             .is_some_and(|member| member.incarnation == address.incarnation)
     }
 
-    /// Whether this very incarnation is a voter.
+    /// Whether this incarnation of the replica is a voter.
     #[must_use]
     pub fn is_voter(&self, address: ReplicaAddress) -> bool {
         self.member(address.replica)
             .is_some_and(|member| member == Member::voter(address.incarnation))
     }
 
-    /// Number of voters that make a majority.
+    /// Number of voters in a majority.
     #[must_use]
     pub fn quorum(&self) -> usize {
         self.voters().count() / 2 + 1
     }
 
-    /// The greatest value that a majority of the voters reaches; none without voters.
+    /// The greatest value reached by a majority of the voters; `None` without voters.
     pub fn quorum_value<T: Ord>(&self, value_of: impl Fn(ReplicaId) -> T) -> Option<T> {
         let mut values: Vec<T> = self.voters().map(value_of).collect();
         values.sort_unstable_by(|left, right| right.cmp(left));
         values.into_iter().nth(self.quorum() - 1)
     }
 
-    /// The members after a change.
+    /// The configuration after a change.
     ///
     /// # Errors
-    /// [`MembershipError`] where the change makes no sense for these members.
+    /// [`MembershipError`] if the change is invalid for these members.
     pub fn with(&self, change: MembershipChange) -> Result<Self, MembershipError> {
         let mut next = self.clone();
         match change {
--- a/crates/courseshed-consensus/src/entry.rs
+++ b/crates/courseshed-consensus/src/entry.rs
@@ -1,37 +1,37 @@
-//! What a replica keeps: log entries, the hard state of elections, and snapshots.
+//! Persistent state of a replica: log entries, hard state and snapshots.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
 use crate::{Configuration, LogIndex, ReplicaAddress, Term};
 
-/// Bytes that an entry is taken to need besides its payload, when batches are measured.
+/// Accounted size of an entry without its payload, and of a member in a configuration.
 pub(crate) const ENTRY_OVERHEAD_BYTES: usize = 24;
 
-/// What an entry asks the group to do.
+/// The payload of a log entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// Nothing. A new leader commits one first, since it may not count replicas of older terms.
+    /// No operation. Appended by a new leader, which can't commit entries of older terms directly.
     Noop,
-    /// A command of the state machine, opaque to the log.
+    /// A state machine command, opaque to the log.
     Data(Bytes),
-    /// The members from this entry on. In force as soon as it is in the log.
+    /// A new configuration, in effect as soon as it is in the log.
     Configuration(Configuration),
 }
 
-/// One position of the log.
+/// A log entry.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The term of the leader that wrote it.
+    /// The term of the leader that created the entry.
     pub term: Term,
-    /// Its position.
+    /// Position in the log.
     pub index: LogIndex,
-    /// What it asks for.
+    /// The payload.
     pub payload: EntryPayload,
 }
 
 impl Entry {
-    /// The bytes this entry counts for in a batch.
+    /// Accounted size in bytes: the payload plus a fixed overhead.
     #[must_use]
     pub fn size_bytes(&self) -> usize {
         let payload = match &self.payload {
@@ -45,52 +45,52 @@
     }
 }
 
-/// What must be durable before a replica answers in a term.
+/// Election state that must be durable before a replica sends messages that depend on it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct HardState {
     /// The latest term the replica has seen.
     pub term: Term,
-    /// The candidate it voted for in that term.
+    /// The candidate that received the replica's vote in that term.
     pub vote: Option<ReplicaAddress>,
 }
 
-/// The state that a snapshot stands for.
+/// The position and configuration of a snapshot.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SnapshotMetadata {
-    /// The last entry included.
+    /// Index of the last included entry.
     pub index: LogIndex,
-    /// The term of that entry.
+    /// Term of that entry.
     pub term: Term,
-    /// The members as of that entry.
+    /// Configuration as of that entry.
     pub configuration: Configuration,
 }
 
-/// The state machine's content as of an index, which replaces the log up to there.
+/// The state machine's state as of an index, which replaces the log up to that index.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Snapshot {
-    /// What it stands for.
+    /// Position and configuration.
     pub metadata: SnapshotMetadata,
-    /// The state machine's content; empty at index 0.
+    /// The serialized state; empty at index 0.
     pub data: Bytes,
 }
 
-/// What a storage held when it was opened.
+/// The state loaded from a storage.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Restored {
-    /// The incarnation this storage belongs to, where it keeps one.
+    /// The stored incarnation, if the storage records one.
     pub incarnation: Option<u64>,
     /// Term and vote.
     pub hard_state: HardState,
     /// The latest snapshot, if any.
     pub snapshot: Option<Snapshot>,
-    /// The entries after the snapshot, without gaps.
+    /// The contiguous entries after the snapshot.
     pub entries: Vec<Entry>,
-    /// An entry up to which all are known to be committed; later ones may be, too.
+    /// The stored commit index, which may lag behind the actual one.
     pub committed: LogIndex,
 }
 
 impl Restored {
-    /// Whether the storage held nothing: a replica that never took part.
+    /// Whether the storage was empty, as for a new replica.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hard_state == HardState::default()
--- a/crates/courseshed-consensus/src/error.rs
+++ b/crates/courseshed-consensus/src/error.rs
@@ -1,10 +1,10 @@
-//! Why a replica refuses a request.
+//! Errors of requests to a replica.
 
 use snafu::Snafu;
 
 use crate::{LogIndex, MembershipError, ReplicaId, Term};
 
-/// Where a proposal stands in the log. Committed if an entry with this term is applied there.
+/// The log position of a proposal. It is committed if the entry applied at this index has this term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId {
     /// The leader's term.
@@ -13,93 +13,97 @@
     pub index: LogIndex,
 }
 
-/// Why a proposal was not taken. Nothing was written to the log, so it is safe to retry.
+/// Errors of a proposal. Nothing was written to the log, so it is safe to retry.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ProposeError {
-    /// The replica isn't the leader.
+    /// The replica is not the leader.
     #[snafu(display("not the leader; the leader is {leader:?}"))]
     NotLeader {
-        /// The leader, as far as known.
+        /// The current leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// Too many entries are uncommitted: retry with backoff.
-    #[snafu(display("{uncommitted} entries are uncommitted"))]
+    /// Too many entries are uncommitted; retry with backoff.
+    #[snafu(display("too many uncommitted entries: {uncommitted}"))]
     Busy {
         /// Number of uncommitted entries.
         uncommitted: u64,
     },
-    /// The leader is handing over: retry with the next leader.
-    #[snafu(display("leadership is being handed over to replica {to}"))]
+    /// A leadership transfer is in progress; retry with the new leader.
+    #[snafu(display("leadership is being transferred to replica {to}"))]
     TransferInProgress {
-        /// The next leader.
+        /// The target of the transfer.
         to: ReplicaId,
     },
-    /// The proposal is larger than the settings allow.
-    #[snafu(display("{size} bytes are more than the limit of {limit}"))]
+    /// The proposal exceeds the configured size limit.
+    #[snafu(display("proposal of {size} bytes exceeds the limit of {limit} bytes"))]
     TooLarge {
         /// Size of the proposal in bytes.
         size: usize,
         /// The limit in bytes.
         limit: usize,
     },
-    /// The replica's storage failed; it takes part no more until it is reopened.
-    #[snafu(display("the storage of this replica failed"))]
+    /// The replica has stopped, usually after a storage failure, and must be reopened.
+    #[snafu(display("the storage of this replica failed; it must be reopened"))]
     StorageFailed,
 }
 
-/// Why a membership change was not taken. Nothing was written to the log.
+/// Errors of a membership change. Nothing was written to the log.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum ChangeError {
-    /// The replica can't take proposals.
+    /// The replica can't accept proposals.
     #[snafu(display("{source}"), context(false))]
     Refused {
-        /// Why not.
+        /// The cause.
         source: ProposeError,
     },
-    /// The change makes no sense for the present members.
+    /// The change is invalid for the current members.
     #[snafu(display("{source}"), context(false))]
     Invalid {
-        /// Why not.
+        /// The cause.
         source: MembershipError,
     },
-    /// An earlier change, or the leader's first entry, isn't committed yet.
-    #[snafu(display("the change at index {pending} is not committed yet"))]
+    /// An earlier change or the leader's first entry is not committed yet.
+    #[snafu(display(
+        "the entry at index {pending} must be committed before another membership change"
+    ))]
     Pending {
-        /// The entry that must be committed first.
+        /// Index of the entry that must be committed first.
         pending: LogIndex,
     },
-    /// Too few of the voters there would be are alive to commit the change or anything after it.
+    /// Too few of the new voters are active to commit the change.
     #[snafu(display(
-        "only {alive} of the {needed} voters needed after the change were heard lately"
+        "only {active} of the {required} voters required after the change were in contact within the election timeout"
     ))]
     InsufficientActiveVoters {
-        /// Voters after the change that were heard within an election timeout.
-        alive: usize,
-        /// Voters that make a majority after the change.
-        needed: usize,
+        /// New voters in contact within the election timeout.
+        active: usize,
+        /// Quorum after the change.
+        required: usize,
     },
-    /// The learner lacks too much of the log to vote.
-    #[snafu(display("replica {replica} has the log up to {matched} of {last}"))]
+    /// The learner lags too far behind to be promoted.
+    #[snafu(display(
+        "replica {replica} has not caught up: matched index {matched}, last index {last}"
+    ))]
     NotCaughtUp {
         /// The learner.
         replica: ReplicaId,
-        /// Up to where it has the log.
+        /// Last index known to match the leader's log.
         matched: LogIndex,
-        /// The last entry.
+        /// Last index of the leader's log.
         last: LogIndex,
     },
 }
 
-/// Why leadership can't be handed over.
+/// Errors of a leadership transfer.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum TransferError {
-    /// The replica isn't the leader.
+    /// The replica is not the leader.
     #[snafu(display("not the leader; the leader is {leader:?}"))]
     NoLeadership {
-        /// The leader, as far as known.
+        /// The current leader, if known.
         leader: Option<ReplicaId>,
     },
-    /// The target isn't another voter.
+    /// The target is not another voter.
     #[snafu(display("replica {to} is not another voter of the group"))]
     NotAVoter {
         /// The target.
--- a/crates/courseshed-consensus/src/group.rs
+++ b/crates/courseshed-consensus/src/group.rs
@@ -1,10 +1,9 @@
-//! The driver that wires a peer, its storage and a state machine together.
+//! The driver that combines a peer, its storage and a state machine.
 //!
-//! It is synchronous and has no clock: the daemon, the simulator and the tests all call it with the
-//! time. Calls that take something in only change memory; `take_outputs` writes to the storage, so
-//! that one flush serves all that came in since the last one.
+//! It is synchronous and has no clock; callers pass the current time. Inputs only change memory, and
+//! `take_outputs` writes to the storage, so that one flush covers all inputs since the last call.
 //!
-//! Invariant: once the storage failed, the replica answers nothing and acknowledges nothing.
+//! Invariant: after a storage failure the replica neither processes messages nor acknowledges entries.
 
 use std::time::Duration;
 
@@ -19,32 +18,32 @@
 
 /// A deterministic state machine: the same entries in the same order give the same state.
 pub trait StateMachine {
-    /// What applying a command answers.
+    /// The result of applying a command.
     type Output;
 
     /// Applies a committed command.
     fn apply(&mut self, index: LogIndex, data: &[u8]) -> Self::Output;
 
-    /// The whole state, from which [`StateMachine::restore`] makes an equal one.
+    /// Serializes the whole state for [`StateMachine::restore`].
     fn snapshot(&self) -> Vec<u8>;
 
-    /// Replaces the whole state.
+    /// Replaces the whole state with a snapshot.
     ///
     /// # Errors
-    /// [`RestoreError`] when the data isn't a snapshot of this state machine.
+    /// [`RestoreError`] if the data is not a valid snapshot of this state machine.
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError>;
 }
 
-/// A state machine can't read a snapshot.
+/// A state machine failed to decode a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
-#[snafu(display("the snapshot can't be read: {reason}"))]
+#[snafu(display("cannot restore the state machine from its snapshot: {reason}"))]
 pub struct RestoreError {
-    /// What is wrong.
+    /// A description of the error.
     pub reason: String,
 }
 
 impl RestoreError {
-    /// Says what is wrong with a snapshot.
+    /// Creates an error with the given description.
     pub fn new(reason: impl Into<String>) -> Self {
         Self {
             reason: reason.into(),
@@ -52,55 +51,57 @@
     }
 }
 
-/// Why a replica can't start, or stopped.
+/// Errors that prevent a replica from starting or make it stop.
 #[derive(Debug, Snafu)]
 pub enum GroupError {
-    /// The settings can't work.
+    /// The settings are invalid.
     #[snafu(display("{source}"))]
     Settings {
-        /// The first setting that can't.
+        /// The first invalid setting.
         source: SettingsError,
     },
     /// The storage failed.
     #[snafu(display("{source}"))]
     Storage {
-        /// How.
+        /// The storage error.
         source: StorageError,
     },
-    /// The state machine refused a snapshot.
+    /// The state machine could not be restored from a snapshot.
     #[snafu(display("{source}"))]
     UnreadableSnapshot {
-        /// Why.
+        /// The cause.
         source: RestoreError,
     },
-    /// A leader asked to replace committed entries.
-    #[snafu(display("a leader asked to replace committed entries; two groups may share an id"))]
+    /// A leader tried to overwrite committed entries.
+    #[snafu(display(
+        "a leader tried to overwrite committed entries; two groups may have the same ID"
+    ))]
     Inconsistent,
 }
 
 /// The outcome of one applied command.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Applied<Output> {
-    /// Where the command stands in the log.
+    /// Log index of the command.
     pub index: LogIndex,
-    /// The term of its entry: the proposal of this index and term, and no other, was committed.
+    /// Term of its entry. Only the proposal with this index and term was committed.
     pub term: Term,
-    /// What the state machine answered.
+    /// Result of the state machine.
     pub output: Output,
 }
 
-/// What came of all calls since the last time.
+/// The outputs of all calls since the previous [`ReplicatedGroup::take_outputs`].
 #[derive(Clone, Debug)]
 pub struct GroupOutputs<Output> {
-    /// Messages to send. They may be lost, repeated and reordered.
+    /// Messages to send. The protocol tolerates loss, duplication and reordering.
     pub messages: Vec<Message>,
-    /// Commands applied, in order. After a snapshot from the leader some are skipped.
+    /// Applied commands, in order. Commands covered by an installed snapshot are skipped.
     pub applied: Vec<Applied<Output>>,
-    /// Read barriers that may be answered now: their index is applied.
+    /// Confirmed read barriers whose index is applied.
     pub reads: Vec<ReadReady>,
-    /// Changes of role, leader or term, in order. Pending reads of a former leader are void.
+    /// Changes of role, leader or term, in order. They invalidate pending reads.
     pub role_changes: Vec<RoleChange>,
-    /// The index of a leader's snapshot that replaced the state machine's content.
+    /// Index of an installed leader snapshot that replaced the state machine's state.
     pub installed: Option<LogIndex>,
 }
 
@@ -131,10 +132,10 @@
 }
 
 impl<S: LogStorage, M: StateMachine> ReplicatedGroup<S, M> {
-    /// Opens a replica: reads its storage and restores the state machine from the snapshot there.
+    /// Opens a replica: loads its storage and restores the state machine from the stored snapshot.
     ///
     /// # Errors
-    /// [`GroupError`] when the settings, the storage or the snapshot are not usable.
+    /// [`GroupError`] if the settings, the storage or the snapshot are invalid.
     pub fn new(
         mut config: PeerConfig,
         mut storage: S,
@@ -165,28 +166,28 @@
         })
     }
 
-    /// Breaks a rule on purpose, for the simulation.
+    /// Injects a protocol defect, to test the simulator.
     pub(crate) fn with_defect(mut self, defect: crate::peer::Defect) -> Self {
         self.peer = self.peer.with_defect(defect);
         self
     }
 
-    /// Takes in a message from another replica.
+    /// Processes a message from another replica.
     pub fn handle(&mut self, now: Duration, message: Message) {
         if self.failure.is_none() {
             self.peer.step(now, message);
         }
     }
 
-    /// Lets time pass. See [`Peer::tick`].
+    /// Advances the clock. See [`Peer::tick`].
     pub fn tick(&mut self, now: Duration) {
         if self.failure.is_none() {
             self.peer.tick(now);
         }
     }
 
-    /// Proposes a command. Its outcome is an [`Applied`] with the returned index and term; if that
-    /// index is applied with another term, the command was not and never will be committed there.
+    /// Proposes a command. When committed, it is returned as an [`Applied`] with the same index and
+    /// term. If the index is applied with another term, the command was discarded.
     ///
     /// # Errors
     /// [`ProposeError`]: nothing was written.
@@ -200,7 +201,7 @@
         self.peer.propose(data)
     }
 
-    /// Proposes a change of the members. See [`Peer::propose_membership`].
+    /// Proposes a membership change. See [`Peer::propose_membership`].
     ///
     /// # Errors
     /// [`ChangeError`]: nothing was written.
@@ -214,10 +215,10 @@
         self.peer.propose_membership(change)
     }
 
-    /// Hands leadership over. See [`Peer::transfer_leadership`].
+    /// Transfers leadership. See [`Peer::transfer_leadership`].
     ///
     /// # Errors
-    /// [`TransferError`].
+    /// [`TransferError`] if the transfer can't be started.
     pub fn transfer_leadership(
         &mut self,
         now: Duration,
@@ -227,16 +228,16 @@
         self.peer.transfer_leadership(to)
     }
 
-    /// Asks for a read barrier. See [`Peer::read_barrier`].
+    /// Requests a read barrier. See [`Peer::read_barrier`].
     ///
     /// # Errors
-    /// [`ProposeError`].
+    /// [`ProposeError`] if this replica is not the leader or has stopped.
     pub fn read_barrier(&mut self, now: Duration) -> Result<ReadId, ProposeError> {
         self.check_storage()?;
         self.peer.read_barrier(now)
     }
 
-    /// Writes, applies, and returns all that came of the calls since the last time.
+    /// Persists and applies pending work, and returns the outputs since the previous call.
     pub fn take_outputs(&mut self) -> GroupOutputs<M::Output> {
         while self.failure.is_none() && self.peer.has_ready() {
             let ready = self.peer.ready();
@@ -253,7 +254,7 @@
     fn process(&mut self, ready: Ready) -> Result<(), GroupError> {
         let persisted = ready.persisted();
         if ready.role_change.is_some() {
-            // Reads that wait were confirmed for a leadership that has ended.
+            // Waiting reads were confirmed under a leadership that may have ended.
             self.waiting_reads.clear();
         }
         self.outputs.messages.extend(ready.messages);
@@ -313,15 +314,15 @@
         let last_size = self.peer.snapshot().data.len();
         let many_entries = self.entries_since_snapshot >= self.config.snapshot_after_entries;
         let many_bytes = self.bytes_since_snapshot >= self.config.snapshot_after_bytes;
-        // A large state is written less often, so that snapshots cost no more than the log itself.
-        let is_worth_it = self.bytes_since_snapshot >= last_size / 2;
-        if (many_entries || many_bytes) && is_worth_it {
+        // Large states are written less often, to bound the snapshot writes relative to the log.
+        let outweighs_last_snapshot = self.bytes_since_snapshot >= last_size / 2;
+        if (many_entries || many_bytes) && outweighs_last_snapshot {
             self.compact()?;
         }
         Ok(())
     }
 
-    /// Takes a snapshot now and drops the log that it replaces.
+    /// Takes a snapshot and compacts the log.
     fn compact(&mut self) -> Result<(), GroupError> {
         self.entries_since_snapshot = 0;
         self.bytes_since_snapshot = 0;
@@ -351,20 +352,20 @@
         Ok(())
     }
 
-    /// Why the replica stopped, if it did. It must be opened anew.
+    /// Why the replica stopped, if it did. It must be reopened.
     #[must_use]
     pub fn failure(&self) -> Option<&GroupError> {
         self.failure.as_ref()
     }
 
-    /// Whether this replica leads, and its storage works.
+    /// Whether this replica is the leader and has not failed.
     #[must_use]
     pub fn is_leader(&self) -> bool {
         self.failure.is_none() && self.peer.is_leader()
     }
 
-    /// Whether this replica leads and has applied all that was committed before its term, so that
-    /// its state machine may be decided upon.
+    /// Whether this replica is the leader, has committed an entry of its term and has applied all
+    /// committed entries, so that decisions may be based on its state machine.
     #[must_use]
     pub fn is_established(&self) -> bool {
         self.is_leader()
@@ -372,25 +373,25 @@
             && self.peer.applied_index() == self.peer.commit_index()
     }
 
-    /// The leader, as far as known.
+    /// The leader of the current term, if known.
     #[must_use]
     pub fn leader(&self) -> Option<ReplicaId> {
         self.peer.leader()
     }
 
-    /// The current term.
+    /// The latest term this replica has seen.
     #[must_use]
     pub fn term(&self) -> Term {
         self.peer.term()
     }
 
-    /// Whether the state machine may be read at `now` without asking the other replicas.
+    /// Whether the state machine may be read at `now` without contacting the other replicas.
     #[must_use]
     pub fn lease_valid(&self, now: Duration) -> bool {
         self.is_established() && self.peer.lease_valid(now)
     }
 
-    /// When [`ReplicatedGroup::tick`] has something to do next; `Duration::MAX` when never.
+    /// When the next timer expires; `Duration::MAX` if there is none.
     #[must_use]
     pub fn next_wakeup(&self) -> Duration {
         if self.failure.is_some() {
@@ -399,13 +400,13 @@
         self.peer.next_wakeup()
     }
 
-    /// A summary for operators and metrics.
+    /// A snapshot of the replica's state for operators and metrics.
     #[must_use]
     pub fn status(&self) -> PeerStatus {
         self.peer.status()
     }
 
-    /// The peer, for reading.
+    /// The underlying peer.
     #[must_use]
     pub fn peer(&self) -> &Peer {
         &self.peer
@@ -417,13 +418,13 @@
         &self.machine
     }
 
-    /// The state machine, for the leader's soft state only: what is replicated changes by proposals
-    /// alone.
+    /// Mutable access to the state machine, for unreplicated state only. Replicated state must be
+    /// changed only through proposals.
     pub fn machine_mut(&mut self) -> &mut M {
         &mut self.machine
     }
 
-    /// Closes the replica and gives its storage back.
+    /// Closes the replica and returns its storage.
     pub fn into_storage(self) -> S {
         self.storage
     }
--- a/crates/courseshed-consensus/src/ids.rs
+++ b/crates/courseshed-consensus/src/ids.rs
@@ -1,8 +1,7 @@
 //! Identifiers and positions of the replicated log.
 //!
-//! Each is a newtype, so that a term can't be taken for an index. A replica is named by its id and
-//! its incarnation: a replica that lost its state comes back under the same id with a higher
-//! incarnation, and no promise of the earlier incarnation binds or counts for it.
+//! A replica is identified by its ID and its incarnation. A replica that lost its state restarts with
+//! the same ID and a higher incarnation; votes and acknowledgements of earlier incarnations are void.
 
 use std::fmt;
 
@@ -32,28 +31,28 @@
 }
 
 numeric_newtype!(
-    /// Names one replicated log among those that a process hosts.
+    /// Identifies a replication group.
     GroupId,
     u32
 );
 numeric_newtype!(
-    /// Names a replica within its group, over all its incarnations.
+    /// Identifies a replica within its group, across incarnations.
     ReplicaId,
     u64
 );
 numeric_newtype!(
-    /// A period with at most one leader; grows with each election.
+    /// An election term. Each term has at most one leader.
     Term,
     u64
 );
 numeric_newtype!(
-    /// A position in the log. The first entry has index 1; index 0 is the state before it.
+    /// A position in the log. The first entry has index 1; index 0 is the initial state.
     LogIndex,
     u64
 );
 
 impl Term {
-    /// The term after this one.
+    /// The following term.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
@@ -61,30 +60,30 @@
 }
 
 impl LogIndex {
-    /// The position after this one.
+    /// The following index.
     #[must_use]
     pub fn next(self) -> Self {
         Self(self.0 + 1)
     }
 
-    /// The position before this one; index 0 is its own predecessor.
+    /// The preceding index; 0 for index 0.
     #[must_use]
     pub fn previous(self) -> Self {
         Self(self.0.saturating_sub(1))
     }
 }
 
-/// One life of a replica: the same id with another incarnation has other memory.
+/// A specific incarnation of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct ReplicaAddress {
-    /// The replica.
+    /// The replica's ID.
     pub replica: ReplicaId,
-    /// Which life of it. Must grow whenever the replica starts without its earlier state.
+    /// The incarnation. Must increase whenever the replica starts without its earlier state.
     pub incarnation: u64,
 }
 
 impl ReplicaAddress {
-    /// Names one life of a replica.
+    /// Creates an address.
     #[must_use]
     pub fn new(replica: ReplicaId, incarnation: u64) -> Self {
         Self {
--- a/crates/courseshed-consensus/src/lib.rs
+++ b/crates/courseshed-consensus/src/lib.rs
@@ -1,12 +1,12 @@
-//! The replicated log: a sans-I/O consensus state machine and its storages.
+//! The replicated log: a sans-I/O Raft implementation and its storage backends.
 //!
-//! [`Peer`] is the state machine of one replica: it has no clock, socket, thread or random source.
-//! [`LogStorage`] keeps what must survive, on disk or in memory. [`ReplicatedGroup`] wires a peer, a
-//! storage and a [`StateMachine`] together; the daemon, the simulator and the tests all drive that.
+//! [`Peer`] is the protocol state machine of one replica, without a clock, socket, thread or random
+//! source. [`LogStorage`] persists its state. [`ReplicatedGroup`] combines a peer, a storage and a
+//! [`StateMachine`], and is driven by the daemon, the simulator and the tests alike.
 //!
 //! The protocol is Raft (Ongaro and Ousterhout, USENIX ATC 2014) with pre-vote, check-quorum, leader
-//! leases, one-at-a-time membership changes, and incarnations, by which a replica without a disk can
-//! lose its memory without breaking a promise. See `docs/design/replicated-log.md`.
+//! leases, single-server membership changes, and incarnations, which let a replica without a disk
+//! safely rejoin after losing its state. See `docs/design/replicated-log.md`.
 
 mod configuration;
 mod entry;
--- a/crates/courseshed-consensus/src/message.rs
+++ b/crates/courseshed-consensus/src/message.rs
@@ -1,7 +1,7 @@
-//! What replicas of a group say to each other.
+//! Messages between the replicas of a group.
 //!
-//! Invariant: an answer can be matched to the request it is for by its term, and by the echoed
-//! probe or candidate, so late, repeated and reordered copies are harmless.
+//! Invariant: a response is matched to its request by its term and the echoed probe or candidate, so
+//! that late, duplicate and reordered messages are harmless.
 
 use std::time::Duration;
 
@@ -13,31 +13,31 @@
 /// One message between two replicas of a group.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The group both belong to.
+    /// The group of both replicas.
     pub group: GroupId,
-    /// The sender, with its incarnation: only an admitted incarnation counts.
+    /// The sender and its incarnation.
     pub from: ReplicaAddress,
-    /// The receiver, in whichever incarnation it lives now.
+    /// The receiver, in any incarnation.
     pub to: ReplicaId,
     /// The sender's term.
     pub term: Term,
-    /// What is said.
+    /// The content.
     pub body: MessageBody,
 }
 
-/// When and in which round a leader sent something. Echoed by the receiver, so that the leader
-/// knows up to when it was the leader for certain.
+/// Round and send time of a leader's append. Echoed by followers to renew the leader's lease and to
+/// confirm reads.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Probe {
-    /// Counts heartbeat rounds and read barriers of this leader.
+    /// Number of the leader's heartbeat or read barrier round.
     pub round: u64,
-    /// The leader's own monotonic clock; means nothing to others.
+    /// Send time by the leader's monotonic clock; not comparable between replicas.
     pub sent_at: Duration,
 }
 
-/// Where a candidate's log ends.
+/// Term and index of the last entry of a log.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -48,92 +48,92 @@
     pub index: LogIndex,
 }
 
-/// A follower's answer to an append.
+/// The result of an append.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum AppendOutcome {
-    /// The follower's durable log equals the leader's up to here.
+    /// The follower's durable log matches the leader's up to `matched`.
     Accepted {
-        /// The last index that is known to be equal.
+        /// The last index known to match.
         matched: LogIndex,
     },
-    /// The follower lacks the entry before the appended ones.
+    /// The follower's log has no matching entry before the appended ones.
     Rejected {
-        /// The index that the leader asked about.
+        /// The `previous_index` of the append.
         previous: LogIndex,
-        /// The last index at which the logs may still be equal.
+        /// The last index at which the logs may match.
         hint: LogIndex,
     },
 }
 
-/// The kinds of message.
+/// The content of a message.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// Asks whether an election in the next term could succeed. Changes nothing at the receiver.
+    /// Asks whether the receiver would grant a vote in the next term. Doesn't change its state.
     PreVoteRequest {
-        /// The end of the asker's log.
+        /// The end of the sender's log.
         log_end: LogEnd,
     },
-    /// Answers a pre-vote.
+    /// Response to a pre-vote request.
     PreVoteResponse {
-        /// Who asked.
+        /// The candidate that sent the request.
         candidate: ReplicaAddress,
-        /// The term in which it asked.
+        /// The term of the request.
         asked_in: Term,
-        /// Whether the receiver would vote for it.
+        /// Whether the vote would be granted.
         granted: bool,
     },
-    /// Asks for a vote in the message's term.
+    /// Requests a vote in the message's term.
     VoteRequest {
         /// The end of the candidate's log.
         log_end: LogEnd,
-        /// The leader asked for this election, so its lease doesn't stand against it.
+        /// The election is part of a leadership transfer, so an active leader doesn't prevent it.
         handover: bool,
     },
-    /// Answers a vote request.
+    /// Response to a vote request.
     VoteResponse {
-        /// Who asked.
+        /// The candidate that sent the request.
         candidate: ReplicaAddress,
-        /// Whether the vote was given.
+        /// Whether the vote was granted.
         granted: bool,
     },
-    /// Appends entries, or is a heartbeat when there are none.
+    /// Appends entries; a heartbeat if there are none.
     Append {
         /// Index of the entry before the appended ones.
         previous_index: LogIndex,
         /// Term of that entry.
         previous_term: Term,
-        /// The entries, without gaps.
+        /// Contiguous entries.
         entries: Vec<Entry>,
         /// The leader's commit index.
         commit: LogIndex,
-        /// To be echoed.
+        /// Echoed in the response.
         probe: Probe,
     },
-    /// Answers an append.
+    /// Response to an append.
     AppendResponse {
-        /// Whether the entries fitted.
+        /// Whether the entries were accepted.
         outcome: AppendOutcome,
-        /// The append's probe.
+        /// The probe of the append.
         probe: Probe,
     },
-    /// A piece of a snapshot.
+    /// A chunk of a snapshot.
     SnapshotChunk {
-        /// Which snapshot.
+        /// Metadata of the snapshot.
         metadata: SnapshotMetadata,
-        /// Where in its data this piece starts, in bytes.
+        /// Offset of the chunk in the snapshot data, in bytes.
         offset: u64,
-        /// Size of all its data in bytes.
+        /// Total size of the snapshot data in bytes.
         total: u64,
-        /// The piece.
+        /// The chunk's data.
         data: Bytes,
     },
-    /// Answers a piece of a snapshot.
+    /// Response to a snapshot chunk.
     SnapshotResponse {
         /// The last index of the snapshot.
         index: LogIndex,
-        /// The offset from which the follower needs the rest; the total when it has all.
+        /// Offset of the next chunk needed; the total size if the snapshot is complete.
         next_offset: u64,
     },
-    /// Asks the receiver to start an election at once, since the leader hands over to it.
+    /// Tells the target of a leadership transfer to start an election immediately.
     TimeoutNow,
 }
--- a/crates/courseshed-consensus/src/peer/membership.rs
+++ b/crates/courseshed-consensus/src/peer/membership.rs
@@ -52,12 +52,12 @@
             // Only this replica itself has no follower progress.
             follower.is_none_or(|follower| self.is_within_election_timeout(follower.last_contact))
         };
-        let alive = next.voters().filter(is_active).count();
-        let needed = next.quorum();
-        if alive >= needed {
+        let active = next.voters().filter(is_active).count();
+        let required = next.quorum();
+        if active >= required {
             return Ok(());
         }
-        Err(ChangeError::InsufficientActiveVoters { alive, needed })
+        Err(ChangeError::InsufficientActiveVoters { active, required })
     }
 
     fn check_caught_up(&self, replica: ReplicaId) -> Result<(), ChangeError> {
--- a/crates/courseshed-consensus/src/ready.rs
+++ b/crates/courseshed-consensus/src/ready.rs
@@ -1,6 +1,6 @@
-//! What a peer wants done, and what it is told once that is done.
+//! Work that a peer hands to its driver, and the driver's report of its completion.
 //!
-//! The order matters: send `messages`, make `install`, `hard_state` and `entries` durable, then send
+//! The driver must work in this order: send `messages`, make `install`, `hard_state` and `entries` durable, then send
 //! `messages_after_persist`, apply `committed`, and call `advance`.
 
 use crate::{Entry, HardState, LogIndex, Message, ReplicaId, Snapshot, Term};
@@ -8,32 +8,32 @@
 /// Work for the driver of a peer.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Ready {
-    /// Messages that promise nothing about this replica's disk: send them before writing.
+    /// Messages that may be sent before anything is persisted.
     pub messages: Vec<Message>,
-    /// A snapshot from the leader, which replaces the whole log and the state machine.
+    /// A snapshot from the leader, which replaces the log and the state machine's state.
     pub install: Option<Snapshot>,
-    /// Term and vote, when they changed.
+    /// Term and vote, if they changed.
     pub hard_state: Option<HardState>,
-    /// Entries to make durable. They replace everything from the first one's index on.
+    /// Entries to persist. They replace all entries from the first one's index on.
     pub entries: Vec<Entry>,
-    /// Messages to send only when all of the above is durable.
+    /// Messages to send after all of the above is durable.
     pub messages_after_persist: Vec<Message>,
     /// Entries to apply, in order.
     pub committed: Vec<Entry>,
-    /// Reads that may be answered once the state machine has applied their index.
+    /// Confirmed reads, to be served once their index is applied.
     pub reads: Vec<ReadReady>,
-    /// The new role, when it changed.
+    /// The new role, leader and term, if any of them changed.
     pub role_change: Option<RoleChange>,
 }
 
 impl Ready {
-    /// Whether something must reach the disk.
+    /// Whether anything must be persisted.
     #[must_use]
     pub fn must_persist(&self) -> bool {
         self.install.is_some() || self.hard_state.is_some() || !self.entries.is_empty()
     }
 
-    /// What to tell the peer when all of this is done.
+    /// The report to pass to `Peer::advance` when all of this is done.
     #[must_use]
     pub fn persisted(&self) -> Persisted {
         Persisted {
@@ -51,49 +51,49 @@
 /// Report that the work of a [`Ready`] is done.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Persisted {
-    /// The hard state that is durable now.
+    /// The persisted hard state.
     pub hard_state: Option<HardState>,
-    /// The last durable entry with its term.
+    /// Index and term of the last persisted entry.
     pub entry: Option<(LogIndex, Term)>,
-    /// The index of the snapshot that was installed.
+    /// Index of the installed snapshot.
     pub installed: Option<LogIndex>,
-    /// The last applied entry.
+    /// Index of the last applied entry.
     pub applied: Option<LogIndex>,
 }
 
-/// Names a read barrier.
+/// Identifies a read barrier.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ReadId(pub u64);
 
-/// A confirmed read barrier: the replica was the leader after the read was asked for.
+/// A confirmed read barrier: the replica was still the leader after the read was requested.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct ReadReady {
-    /// Which barrier.
+    /// ID of the barrier.
     pub id: ReadId,
     /// The index that must be applied before the read.
     pub index: LogIndex,
 }
 
-/// The part a replica plays.
+/// The role of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum RoleName {
-    /// Follows a leader, or waits for one.
+    /// Follows a leader or waits for one.
     Follower,
-    /// Asks whether an election could succeed.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Orders the log.
+    /// Appends to the log and replicates it.
     Leader,
 }
 
 /// A change of the replica's role, its leader or its term.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RoleChange {
-    /// The role now.
+    /// The new role.
     pub role: RoleName,
-    /// The term now.
+    /// The new term.
     pub term: Term,
-    /// The leader, as far as known.
+    /// The leader of that term, if known.
     pub leader: Option<ReplicaId>,
 }
--- a/crates/courseshed-consensus/src/settings.rs
+++ b/crates/courseshed-consensus/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of one replica, and their checks.
+//! Settings of a replica and their validation.
 
 use std::time::Duration;
 
@@ -16,78 +16,77 @@
 const DEFAULT_CLOCK_DRIFT_PERMILLE: u32 = 50;
 const DEFAULT_PROMOTION_LAG: u64 = 64;
 const DEFAULT_RETAINED_ENTRIES: u64 = 1024;
-/// Half of what is written between two snapshots: a follower that lacks more is better served by the
-/// snapshot, which is seldom larger.
+/// Half of `DEFAULT_SNAPSHOT_AFTER_BYTES`: a follower that lags further is sent the snapshot instead.
 const DEFAULT_RETAINED_BYTES: usize = 4 * 1024 * 1024;
 const DEFAULT_SNAPSHOT_AFTER_ENTRIES: u64 = 8 * 1024;
 const DEFAULT_SNAPSHOT_AFTER_BYTES: usize = 8 * 1024 * 1024;
-/// Heartbeats that must fit into an election timeout, so that one lost message changes nothing.
+/// Minimum heartbeats per election timeout, so that one lost message doesn't trigger an election.
 const MIN_HEARTBEATS_PER_TIMEOUT: u32 = 2;
 const PERMILLE: u32 = 1000;
 
-/// Settings of one replica.
+/// Settings of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PeerConfig {
     /// The group the replica belongs to.
     pub group: GroupId,
-    /// The replica's id.
+    /// The replica's ID.
     pub id: ReplicaId,
-    /// The replica's incarnation. A storage that keeps one overrules it (see `LogStorage`).
+    /// The replica's incarnation. Overridden by the incarnation in the storage, if it has one.
     pub incarnation: u64,
-    /// The members to start with when the storage is empty. Empty: wait for a leader to admit us.
-    /// Every initial member must be given the very same ones, once in the life of a group.
+    /// The members for bootstrapping a group with empty storage; must be identical on all of them.
+    /// Empty for a replica that joins an existing group.
     pub initial_members: Configuration,
-    /// Least time without a leader before an election; at most twice as long, by the seed.
+    /// Minimum election timeout. The actual timeout is randomized up to twice as long.
     pub election_timeout: Duration,
-    /// Time between heartbeats of an idle leader.
+    /// Time between heartbeats of a leader.
     pub heartbeat_interval: Duration,
-    /// Bytes of entries in one message; one entry always fits.
+    /// Maximum bytes of entries in a message; a larger single entry is sent alone.
     pub max_batch_bytes: usize,
-    /// Appends sent to a follower before the first is answered.
+    /// Maximum unacknowledged appends per follower.
     pub max_inflight: usize,
-    /// Uncommitted entries beyond which proposals are refused as busy.
+    /// Number of uncommitted entries from which proposals are rejected as busy.
     pub max_uncommitted_entries: u64,
-    /// Largest proposal.
+    /// Maximum size of a proposal in bytes.
     pub max_entry_bytes: usize,
-    /// Whether the leader may answer reads under a lease without asking a quorum each time.
+    /// Whether the leader may serve reads under a lease without contacting a quorum.
     pub lease: bool,
-    /// Most by which two replicas' clocks may differ in rate, in thousandths.
+    /// Maximum difference in rate between two replicas' clocks, in thousandths.
     pub clock_drift_permille: u32,
-    /// Whether to ask before disturbing a working leader with an election.
+    /// Whether to hold a pre-vote before an election, to avoid disrupting an active leader.
     pub pre_vote: bool,
-    /// Whether a leader steps down that no longer hears a quorum. The lease needs it.
+    /// Whether a leader steps down when it loses contact to a quorum. Required for the lease.
     pub check_quorum: bool,
-    /// Whether the leader readmits members that return in a later incarnation.
+    /// Whether the leader automatically readmits members that return in a later incarnation.
     pub readmit: bool,
-    /// Entries a member may lack of the log when it is made a voter.
+    /// Maximum number of missing entries for a member to be promoted to voter.
     pub promotion_lag: u64,
-    /// Whether followers are told at once of a commit, not only with the next append.
+    /// Whether commit index updates are sent immediately instead of with the next append.
     pub eager_commit: bool,
-    /// Bytes of a snapshot in one message.
+    /// Maximum bytes of snapshot data in a message.
     pub snapshot_chunk_bytes: usize,
-    /// Entries kept behind a snapshot for followers that are a little late.
+    /// Maximum number of entries retained behind a snapshot for lagging followers.
     pub retained_entries: u64,
-    /// Bytes of entries kept behind a snapshot at the most: entries may be large.
+    /// Maximum bytes of entries retained behind a snapshot, since single entries may be large.
     pub retained_bytes: usize,
-    /// Entries applied since the last snapshot after which a new one is taken.
+    /// Number of entries applied since the last snapshot that triggers a new one.
     pub snapshot_after_entries: u64,
-    /// Bytes of entries applied since the last snapshot after which a new one is taken.
+    /// Bytes of entries applied since the last snapshot that trigger a new one.
     pub snapshot_after_bytes: usize,
-    /// Seeds the spread of election timeouts.
+    /// Seed for randomizing election timeouts.
     pub seed: u64,
 }
 
-/// Why settings can't work.
+/// Errors of invalid settings.
 #[derive(Clone, Debug, PartialEq, Eq, Snafu)]
 pub enum SettingsError {
-    /// Heartbeats come too seldom.
+    /// The heartbeat interval is too long for the election timeout.
     #[snafu(display(
-        "the heartbeat interval of {heartbeat_interval:?} must fit twice into the election timeout of {election_timeout:?}"
+        "the heartbeat interval of {heartbeat_interval:?} must be at most half of the election timeout of {election_timeout:?}"
     ))]
     HeartbeatTooSlow {
-        /// Time between heartbeats.
+        /// The heartbeat interval.
         heartbeat_interval: Duration,
-        /// Least election timeout.
+        /// The election timeout.
         election_timeout: Duration,
     },
     /// A size or count that must be positive is zero.
@@ -96,8 +95,8 @@
         /// The setting's name.
         setting: &'static str,
     },
-    /// A lease without its precondition.
-    #[snafu(display("a lease needs check_quorum, and a clock drift below 1000 permille"))]
+    /// The lease is enabled without its preconditions.
+    #[snafu(display("lease requires check_quorum and a clock_drift_permille below 1000"))]
     UnsafeLease,
 }
 
@@ -132,10 +131,10 @@
         }
     }
 
-    /// Checks that the settings fit together.
+    /// Validates the settings.
     ///
     /// # Errors
-    /// [`SettingsError`] names the first setting that can't work.
+    /// [`SettingsError`] for the first invalid setting.
     pub fn validate(&self) -> Result<(), SettingsError> {
         ensure!(
             self.heartbeat_interval * MIN_HEARTBEATS_PER_TIMEOUT <= self.election_timeout,
@@ -158,14 +157,14 @@
         Ok(())
     }
 
-    /// The replica's own address.
+    /// The replica's ID and incarnation.
     #[must_use]
     pub fn address(&self) -> ReplicaAddress {
         ReplicaAddress::new(self.id, self.incarnation)
     }
 
-    /// How long after the sending of a heartbeat that a quorum answered a leader may serve reads.
-    /// Shorter than the election timeout by the clock drift.
+    /// Duration of the lease after sending an append that a quorum acknowledged: the election timeout
+    /// reduced by the maximum clock drift.
     #[must_use]
     pub fn lease_duration(&self) -> Duration {
         self.election_timeout * (PERMILLE - self.clock_drift_permille) / PERMILLE
--- a/crates/courseshed-consensus/src/status.rs
+++ b/crates/courseshed-consensus/src/status.rs
@@ -1,42 +1,42 @@
-//! A summary of a peer for operators and metrics.
+//! Status of a peer for operators and metrics.
 
 use crate::{Configuration, LogIndex, ReplicaAddress, ReplicaId, RoleName, Term};
 
-/// A summary of a peer.
+/// The status of a peer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct PeerStatus {
-    /// The replica and its incarnation.
+    /// The replica's ID and incarnation.
     pub address: ReplicaAddress,
-    /// Its role.
+    /// The current role.
     pub role: RoleName,
-    /// Its term.
+    /// The latest term it has seen.
     pub term: Term,
-    /// The leader, as far as known.
+    /// The leader of the term, if known.
     pub leader: Option<ReplicaId>,
-    /// The members in force.
+    /// The latest configuration in the log.
     pub configuration: Configuration,
-    /// The first entry in memory.
+    /// Index of the first entry in memory.
     pub first_index: LogIndex,
-    /// The last entry.
+    /// Index of the last entry.
     pub last_index: LogIndex,
-    /// The last durable entry.
+    /// Index of the last durable entry.
     pub stable_index: LogIndex,
-    /// The last committed entry.
+    /// Index of the last entry known to be committed.
     pub commit_index: LogIndex,
-    /// The last applied entry.
+    /// Index of the last applied entry.
     pub applied_index: LogIndex,
     /// Index of the latest snapshot.
     pub snapshot_index: LogIndex,
-    /// The followers as the leader sees them; empty on others.
+    /// Progress of the followers; empty unless this replica is the leader.
     pub followers: Vec<FollowerStatus>,
 }
 
-/// A follower as its leader sees it.
+/// Replication progress of a follower.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FollowerStatus {
-    /// The follower.
+    /// The follower's ID.
     pub replica: ReplicaId,
-    /// Up to where its durable log is known to equal the leader's.
+    /// Last index up to which its durable log is known to match the leader's.
     pub matched: LogIndex,
     /// Whether it is receiving a snapshot.
     pub snapshotting: bool,
--- a/crates/courseshed-consensus/tests/losing_members.rs
+++ b/crates/courseshed-consensus/tests/losing_members.rs
@@ -1,4 +1,4 @@
-//! Changes of the members while others fail: none may stop the group for good.
+//! Membership changes during member failures: none may make the group permanently unavailable.
 
 mod support;
 
@@ -24,36 +24,39 @@
 }
 
 #[test]
-fn live_voter_is_not_removed_while_another_is_silent() {
+fn active_voter_is_not_removed_while_another_is_unreachable() {
     let mut cluster = cluster(3);
     let leader = cluster.leader().unwrap();
-    let [silent, live] = others(&cluster, leader)[..] else {
+    let [unreachable, active] = others(&cluster, leader)[..] else {
         panic!("there are three replicas");
     };
-    cluster.isolated.insert(silent);
+    cluster.isolated.insert(unreachable);
     cluster.run(Duration::from_millis(1_500));
     let now = cluster.now;
     let group = cluster.group(leader);
-    let refused = group.propose_membership(now, MembershipChange::Remove(live));
+    let rejected = group.propose_membership(now, MembershipChange::Remove(active));
     let expected = ChangeError::InsufficientActiveVoters {
-        alive: 1,
-        needed: 2,
+        active: 1,
+        required: 2,
     };
-    assert_eq!(refused, Err(expected));
-    let removed = group.propose_membership(now, MembershipChange::Remove(silent));
-    assert!(removed.is_ok(), "the silent one may go: {removed:?}");
+    assert_eq!(rejected, Err(expected));
+    let removed = group.propose_membership(now, MembershipChange::Remove(unreachable));
+    assert!(
+        removed.is_ok(),
+        "the unreachable voter can be removed: {removed:?}"
+    );
     cluster.settle();
     cluster.propose(b"still going");
 }
 
 #[test]
-fn leader_that_removed_itself_leads_again_when_only_it_has_the_log() {
+fn self_removed_leader_is_reelected_when_only_its_log_is_complete() {
     let mut cluster = cluster(4);
     let leader = cluster.leader().unwrap();
     let [lost, ..] = others(&cluster, leader)[..] else {
         panic!("there are four replicas");
     };
-    // The removal is in the leader's log alone when it is cut off and loses its place.
+    // Isolate the leader while its removal is only in its own log, until it steps down.
     let now = cluster.now;
     let removal = MembershipChange::Remove(leader);
     cluster
@@ -63,21 +66,21 @@
     cluster.isolated.insert(leader);
     cluster.settle();
     cluster.run(Duration::from_millis(900));
-    // Of the three others, which need each other to elect anyone, one is gone for good.
+    // Without one of the three others, the remaining two have no quorum.
     cluster.groups.remove(&lost);
     cluster.run(ELECTION);
     assert_eq!(cluster.leader(), None);
     cluster.isolated.clear();
     cluster.run(ELECTION * 2);
-    let new = cluster.leader().expect("the group serves again");
+    let new = cluster.leader().expect("a leader is elected again");
     let members = cluster.group(new).peer().configuration();
     assert!(members.member(leader).is_none(), "the removal is committed");
     cluster.propose(b"still going");
 }
 
-/// Whoever remembers reads by their name must not take an answer to a later one for an earlier one's.
+/// Guards against matching a read response to an abandoned read of an earlier term.
 #[test]
-fn read_of_a_lost_leadership_lends_its_name_to_none() {
+fn read_ids_are_not_reused_after_losing_leadership() {
     let mut cluster = Cluster::empty();
     for id in 1..=3 {
         let mut config = config(address(id), voters(3));
