--- a/crates/courseshed-consensus/src/peer/election.rs
+++ b/crates/courseshed-consensus/src/peer/election.rs
@@ -79,9 +79,8 @@
         term: Term,
         log_end: LogEnd,
     ) {
-        let is_current_term = term >= self.hard_state.term;
-        let granted =
-            is_current_term && self.is_log_up_to_date(log_end) && !self.has_active_leader();
+        let is_not_stale = term >= self.hard_state.term;
+        let granted = is_not_stale && self.is_log_up_to_date(log_end) && !self.has_active_leader();
         let body = MessageBody::PreVoteResponse {
             candidate: from,
             asked_in: term,
--- a/crates/courseshed-consensus/src/peer/membership.rs
+++ b/crates/courseshed-consensus/src/peer/membership.rs
@@ -104,9 +104,9 @@
         let Some(leader) = self.leader_state_mut() else {
             return;
         };
-        let noted = leader.returned.entry(from.replica).or_default();
-        if *noted < from.incarnation {
-            *noted = from.incarnation;
+        let recorded = leader.returned.entry(from.replica).or_default();
+        if *recorded < from.incarnation {
+            *recorded = from.incarnation;
             self.advance_membership();
         }
     }
--- a/crates/courseshed-consensus/src/replica_log.rs
+++ b/crates/courseshed-consensus/src/replica_log.rs
@@ -341,7 +341,7 @@
     }
 }
 
-/// Limits on the entries kept behind a snapshot for followers that lag slightly.
+/// Limits on the entries retained behind a snapshot for followers that lag slightly.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct RetentionLimits {
     pub entries: u64,
--- a/crates/courseshed-consensus/src/storage/disk/mod.rs
+++ b/crates/courseshed-consensus/src/storage/disk/mod.rs
@@ -19,7 +19,7 @@
 use serde::{Deserialize, Serialize};
 use snafu::{OptionExt, ensure};
 
-use super::{DamagedSnafu, FailedSnafu, LockedSnafu};
+use super::{CorruptedSnafu, FailedSnafu, LockedSnafu};
 use crate::{Entry, HardState, LogIndex, LogStorage, Restored, Snapshot, StorageError};
 
 const LOCK_FILE: &str = "lock";
@@ -233,7 +233,7 @@
     let reason = "log or snapshot exists but the incarnation file is missing";
     ensure!(
         !has_content,
-        DamagedSnafu {
+        CorruptedSnafu {
             path,
             offset: 0_u64,
             reason
@@ -262,7 +262,7 @@
     let payload = frame::split(&bytes).map_err(|bad| bad.reason().to_owned());
     let value = payload.and_then(|(payload, _)| frame::decode(payload));
     value.map(Some).or_else(|reason| {
-        DamagedSnafu {
+        CorruptedSnafu {
             path,
             offset: 0_u64,
             reason,
@@ -281,7 +281,7 @@
             Err(_) if !frame::contains_frame(&rest[1..]) => break,
             Err(bad) => {
                 let reason = bad.reason();
-                return DamagedSnafu {
+                return CorruptedSnafu {
                     path,
                     offset: offset as u64,
                     reason,
@@ -290,14 +290,14 @@
             }
         };
         let record = frame::decode(payload).map_err(|reason| {
-            DamagedSnafu {
+            CorruptedSnafu {
                 path,
                 offset: offset as u64,
                 reason,
             }
             .build()
         })?;
-        content.apply(record).with_context(|| DamagedSnafu {
+        content.apply(record).with_context(|| CorruptedSnafu {
             path,
             offset: offset as u64,
             reason: "gap in the log before this record",
@@ -345,7 +345,7 @@
     let reason = "gap between the snapshot and the log";
     ensure!(
         is_contiguous,
-        DamagedSnafu {
+        CorruptedSnafu {
             path,
             offset: 0_u64,
             reason
--- a/crates/courseshed-consensus/src/storage/mod.rs
+++ b/crates/courseshed-consensus/src/storage/mod.rs
@@ -75,7 +75,7 @@
     },
     /// The content is corrupted, other than by an incomplete last write.
     #[snafu(display("{} is corrupted at byte {offset}: {reason}; rebuild this replica from the other replicas", path.display()))]
-    Damaged {
+    Corrupted {
         /// The file.
         path: PathBuf,
         /// The offset in the file, in bytes.
--- a/crates/courseshed-consensus/tests/cluster.rs
+++ b/crates/courseshed-consensus/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! The main paths of a group: election, replication, failover, reads, hand-over, readmission.
+//! Elections, replication, failover, reads, leadership transfer, readmission and membership changes.
 
 mod support;
 
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn proposals_between_outputs_travel_in_one_message() {
+fn proposals_between_outputs_are_batched() {
     let mut cluster = cluster(3);
     let leader = cluster.leader().unwrap();
     let now = cluster.now;
@@ -44,7 +44,7 @@
     assert_eq!(cluster.group(leader).machine().0.len(), 100);
     assert!(
         cluster.delivered - before <= 8,
-        "{} messages",
+        "{} messages for 100 proposals",
         cluster.delivered - before
     );
 }
@@ -53,24 +53,27 @@
 fn survivors_elect_a_leader_with_all_committed_entries() {
     let mut cluster = cluster(3);
     cluster.propose(b"kept");
-    let old = cluster.leader().unwrap();
-    cluster.isolated.insert(old);
+    let old_leader = cluster.leader().unwrap();
+    cluster.isolated.insert(old_leader);
     cluster.run(ELECTION);
-    let new = cluster.leader().unwrap();
-    assert_ne!(old, new);
-    assert_eq!(cluster.group(new).machine().0, vec![b"kept".to_vec()]);
+    let new_leader = cluster.leader().unwrap();
+    assert_ne!(old_leader, new_leader);
+    assert_eq!(
+        cluster.group(new_leader).machine().0,
+        vec![b"kept".to_vec()]
+    );
     assert!(
-        !cluster.group(old).is_leader(),
+        !cluster.group(old_leader).is_leader(),
         "an isolated leader steps down"
     );
     cluster.propose(b"later");
     cluster.isolated.clear();
     cluster.run(ELECTION);
-    assert_eq!(cluster.group(old).machine().0.len(), 2);
+    assert_eq!(cluster.group(old_leader).machine().0.len(), 2);
 }
 
 #[test]
-fn isolated_replica_does_not_disturb_the_leader_when_it_returns() {
+fn isolated_replica_does_not_disrupt_the_leader_when_it_returns() {
     let mut cluster = cluster(3);
     let leader = cluster.leader().unwrap();
     let term = cluster.group(leader).term();
@@ -89,9 +92,9 @@
     let leader = cluster.leader().unwrap();
     let other = *cluster.groups.keys().find(|id| **id != leader).unwrap();
     let now = cluster.now;
-    let refused = cluster.group(other).propose(now, b"x".to_vec());
+    let rejected = cluster.group(other).propose(now, b"x".to_vec());
     assert_eq!(
-        refused,
+        rejected,
         Err(ProposeError::NotLeader {
             leader: Some(leader)
         })
@@ -101,15 +104,15 @@
 #[test]
 fn lease_ends_before_another_leader_can_be_elected() {
     let mut cluster = cluster(3);
-    let old = cluster.leader().unwrap();
+    let old_leader = cluster.leader().unwrap();
     let now = cluster.now;
-    assert!(cluster.group(old).lease_valid(now));
-    cluster.isolated.insert(old);
+    assert!(cluster.group(old_leader).lease_valid(now));
+    cluster.isolated.insert(old_leader);
     while cluster.leader().is_none() {
         cluster.run(Duration::from_millis(10));
     }
     let now = cluster.now;
-    assert!(!cluster.group(old).lease_valid(now));
+    assert!(!cluster.group(old_leader).lease_valid(now));
 }
 
 #[test]
@@ -141,12 +144,15 @@
 }
 
 #[test]
-fn leadership_moves_at_once_when_handed_over() {
+fn leadership_transfer_completes_without_an_election_timeout() {
     let mut cluster = cluster(3);
-    let old = cluster.leader().unwrap();
-    let target = *cluster.groups.keys().find(|id| **id != old).unwrap();
+    let old_leader = cluster.leader().unwrap();
+    let target = *cluster.groups.keys().find(|id| **id != old_leader).unwrap();
     let now = cluster.now;
-    cluster.group(old).transfer_leadership(now, target).unwrap();
+    cluster
+        .group(old_leader)
+        .transfer_leadership(now, target)
+        .unwrap();
     cluster.settle();
     assert_eq!(cluster.leader(), Some(target));
 }
@@ -180,7 +186,7 @@
 }
 
 #[test]
-fn late_replica_catches_up_by_chunked_snapshot() {
+fn lagging_replica_catches_up_by_chunked_snapshot() {
     let mut cluster = Cluster::empty();
     for id in 1..=3 {
         let mut config = config(address(id), voters(3));
@@ -190,26 +196,26 @@
     }
     cluster.run(ELECTION);
     let leader = cluster.leader().unwrap();
-    let late = *cluster.groups.keys().find(|id| **id != leader).unwrap();
-    cluster.isolated.insert(late);
+    let lagging = *cluster.groups.keys().find(|id| **id != leader).unwrap();
+    cluster.isolated.insert(lagging);
     for number in 0..200_u8 {
         cluster.propose(&[number; 8]);
     }
     cluster.isolated.clear();
     cluster.run(ELECTION);
-    assert_eq!(cluster.group(late).machine().0.len(), 200);
-    let status = cluster.group(late).status();
+    assert_eq!(cluster.group(lagging).machine().0.len(), 200);
+    let status = cluster.group(lagging).status();
     assert!(status.snapshot_index > LogIndex(0));
 }
 
-/// A settings document may be megabytes: a number of entries alone is no bound of memory.
+/// Guards against unbounded memory: entries may be megabytes, so their number alone is no limit.
 #[test]
-fn large_entries_are_not_retained_behind_a_snapshot_by_number_alone() {
+fn retained_log_is_limited_by_bytes() {
     const ENTRY_BYTES: usize = 100 * 1024;
     let mut cluster = Cluster::empty();
     let mut config = config(address(1), voters(1));
     config.retained_entries = 1024;
-    let most = config.snapshot_after_bytes + 4 * 1024 * 1024 + 2 * ENTRY_BYTES;
+    let limit = config.snapshot_after_bytes + 4 * 1024 * 1024 + 2 * ENTRY_BYTES;
     cluster.start(config, VolatileLog);
     cluster.run(ELECTION);
     for _ in 0..300 {
@@ -217,7 +223,10 @@
         cluster.settle();
     }
     let held = cluster.group(ReplicaId(1)).peer().log_bytes();
-    assert!(held <= most, "{held} bytes are held, {most} are allowed");
+    assert!(
+        held <= limit,
+        "log holds {held} bytes, limit is {limit} bytes"
+    );
 }
 
 #[test]
--- a/crates/courseshed-consensus/tests/disk.rs
+++ b/crates/courseshed-consensus/tests/disk.rs
@@ -25,16 +25,16 @@
     }
 }
 
-fn open(folder: &Path) -> DiskLog {
-    DiskLog::open(folder, INCARNATION).expect("the directory can be opened")
+fn open(directory: &Path) -> DiskLog {
+    DiskLog::open(directory, INCARNATION).expect("the directory can be opened")
 }
 
-fn reload(folder: &Path) -> Result<Restored, StorageError> {
-    open(folder).load()
+fn reload(directory: &Path) -> Result<Restored, StorageError> {
+    open(directory).load()
 }
 
-fn write_entries(folder: &Path, count: u64) {
-    let mut disk = open(folder);
+fn write_entries(directory: &Path, count: u64) {
+    let mut disk = open(directory);
     disk.load().unwrap();
     let hard_state = HardState {
         term: Term(1),
@@ -60,9 +60,9 @@
 
 #[test]
 fn reload_restores_hard_state_and_entries() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 3);
-    let restored = reload(folder.path()).unwrap();
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 3);
+    let restored = reload(directory.path()).unwrap();
     assert_eq!(
         restored.hard_state,
         HardState {
@@ -78,30 +78,30 @@
 
 #[test]
 fn later_entries_replace_earlier_ones() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 3);
-    let mut disk = open(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 3);
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.append(None, &[entry(2, 2)]).unwrap();
     drop(disk);
-    let restored = reload(folder.path()).unwrap();
+    let restored = reload(directory.path()).unwrap();
     assert_eq!(restored.entries, vec![entry(1, 1), entry(2, 2)]);
 }
 
 #[test]
 fn truncation_within_the_last_record_loses_only_that_record() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 2);
-    let log = folder.path().join("log");
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 2);
+    let log = directory.path().join("log");
     let complete_length = fs::read(&log).unwrap().len();
-    let mut disk = open(folder.path());
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.append(None, &[entry(3, 1)]).unwrap();
     drop(disk);
-    let whole = fs::read(&log).unwrap();
-    for length in complete_length..whole.len() {
-        fs::write(&log, &whole[..length]).unwrap();
-        let restored = reload(folder.path()).unwrap();
+    let intact = fs::read(&log).unwrap();
+    for length in complete_length..intact.len() {
+        fs::write(&log, &intact[..length]).unwrap();
+        let restored = reload(directory.path()).unwrap();
         assert_eq!(
             restored.entries,
             vec![entry(1, 1), entry(2, 1)],
@@ -117,27 +117,27 @@
 
 #[test]
 fn corruption_before_the_last_record_is_rejected() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 2);
-    let log = folder.path().join("log");
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 2);
+    let log = directory.path().join("log");
     let checked_length = fs::read(&log).unwrap().len();
-    let mut disk = open(folder.path());
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.append(None, &[entry(3, 1)]).unwrap();
     drop(disk);
-    let whole = fs::read(&log).unwrap();
+    let intact = fs::read(&log).unwrap();
     for position in 0..checked_length {
-        let mut damaged = whole.clone();
-        damaged[position] ^= 0x40;
-        fs::write(&log, &damaged).unwrap();
-        let rejected = reload(folder.path());
+        let mut corrupted = intact.clone();
+        corrupted[position] ^= 0x40;
+        fs::write(&log, &corrupted).unwrap();
+        let rejected = reload(directory.path());
         assert!(
-            matches!(rejected, Err(StorageError::Damaged { .. })),
+            matches!(rejected, Err(StorageError::Corrupted { .. })),
             "corruption at byte {position} is not rejected"
         );
         assert_eq!(
             fs::read(&log).unwrap(),
-            damaged,
+            corrupted,
             "a corrupted log is not modified"
         );
     }
@@ -145,14 +145,14 @@
 
 #[test]
 fn compaction_removes_entries_covered_by_the_snapshot() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 4);
-    let mut disk = open(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 4);
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.compact(&snapshot(3), LogIndex(4)).unwrap();
     disk.append(None, &[entry(5, 1)]).unwrap();
     drop(disk);
-    let restored = reload(folder.path()).unwrap();
+    let restored = reload(directory.path()).unwrap();
     assert_eq!(restored.snapshot, Some(snapshot(3)));
     assert_eq!(restored.entries, vec![entry(4, 1), entry(5, 1)]);
     assert_eq!(restored.hard_state.vote, Some(address(2)));
@@ -160,61 +160,61 @@
 
 #[test]
 fn reload_recovers_from_a_crash_between_snapshot_and_log_replacement() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 4);
-    let log = folder.path().join("log");
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 4);
+    let log = directory.path().join("log");
     let before = fs::read(&log).unwrap();
-    let mut disk = open(folder.path());
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.compact(&snapshot(3), LogIndex(4)).unwrap();
     drop(disk);
     fs::write(&log, before).unwrap();
-    fs::write(folder.path().join("log.unfinished"), b"half a fi").unwrap();
-    let restored = reload(folder.path()).unwrap();
+    fs::write(directory.path().join("log.unfinished"), b"half a fi").unwrap();
+    let restored = reload(directory.path()).unwrap();
     assert_eq!(restored.entries, vec![entry(4, 1)]);
-    assert!(!folder.path().join("log.unfinished").exists());
+    assert!(!directory.path().join("log.unfinished").exists());
 }
 
 #[test]
 fn gap_between_snapshot_and_log_is_rejected() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 4);
-    let mut disk = open(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 4);
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.compact(&snapshot(3), LogIndex(4)).unwrap();
     drop(disk);
-    fs::remove_file(folder.path().join("snapshot")).unwrap();
+    fs::remove_file(directory.path().join("snapshot")).unwrap();
     assert!(matches!(
-        reload(folder.path()),
-        Err(StorageError::Damaged { .. })
+        reload(directory.path()),
+        Err(StorageError::Corrupted { .. })
     ));
 }
 
 #[test]
 fn directory_is_locked_and_keeps_its_incarnation() {
-    let folder = tempfile::tempdir().unwrap();
-    let first = open(folder.path());
-    let second = DiskLog::open(folder.path(), 7);
+    let directory = tempfile::tempdir().unwrap();
+    let first = open(directory.path());
+    let second = DiskLog::open(directory.path(), 7);
     assert!(matches!(second, Err(StorageError::Locked { .. })));
     drop(first);
-    let third = DiskLog::open(folder.path(), 7).unwrap();
+    let third = DiskLog::open(directory.path(), 7).unwrap();
     assert_eq!(third.incarnation(), INCARNATION);
 }
 
 #[test]
 fn log_without_an_incarnation_file_is_rejected() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 1);
-    fs::remove_file(folder.path().join("incarnation")).unwrap();
-    let rejected = DiskLog::open(folder.path(), 2);
-    assert!(matches!(rejected, Err(StorageError::Damaged { .. })));
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 1);
+    fs::remove_file(directory.path().join("incarnation")).unwrap();
+    let rejected = DiskLog::open(directory.path(), 2);
+    assert!(matches!(rejected, Err(StorageError::Corrupted { .. })));
 }
 
-fn disk_cluster(folder: &Path) -> (Cluster<FaultyLog<DiskLog>>, Vec<FaultSwitch>) {
+fn disk_cluster(directory: &Path) -> (Cluster<FaultyLog<DiskLog>>, Vec<FaultSwitch>) {
     let mut cluster = Cluster::empty();
     let switches: Vec<_> = (1..=3).map(|_| FaultSwitch::default()).collect();
     for (id, switch) in (1..=3).zip(&switches) {
-        let disk = open(&folder.join(id.to_string()));
+        let disk = open(&directory.join(id.to_string()));
         let storage = FaultyLog::new(disk, switch.clone());
         cluster.start(config(address(id), voters(3)), storage);
     }
@@ -224,8 +224,8 @@
 
 #[parameterized(full = { DiskFault::Full }, failing = { DiskFault::Torn })]
 fn leader_with_a_failed_disk_steps_down_and_rejects_proposals(fault: DiskFault) {
-    let folder = tempfile::tempdir().unwrap();
-    let (mut cluster, switches) = disk_cluster(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    let (mut cluster, switches) = disk_cluster(directory.path());
     cluster.propose(b"before");
     let old = cluster.leader().unwrap();
     switches[old.0 as usize - 1].set(fault);
@@ -244,46 +244,46 @@
 
 #[test]
 fn whole_group_restarts_from_its_disks() {
-    let folder = tempfile::tempdir().unwrap();
-    let (mut cluster, _) = disk_cluster(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    let (mut cluster, _) = disk_cluster(directory.path());
     for number in 0..40_u8 {
         cluster.propose(&[number]);
     }
     drop(cluster);
-    let (mut cluster, _) = disk_cluster(folder.path());
+    let (mut cluster, _) = disk_cluster(directory.path());
     cluster.propose(b"new");
     assert_eq!(cluster.group(ReplicaId(1)).machine().0.len(), 41);
 }
 
 #[test]
 fn commit_index_is_persisted_with_the_next_write() {
-    let folder = tempfile::tempdir().unwrap();
-    write_entries(folder.path(), 3);
-    let mut disk = open(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    write_entries(directory.path(), 3);
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.note_committed(LogIndex(3));
     disk.append(None, &[entry(4, 1)]).unwrap();
     disk.note_committed(LogIndex(4));
     drop(disk);
-    assert_eq!(reload(folder.path()).unwrap().committed, LogIndex(3));
-    let mut disk = open(folder.path());
+    assert_eq!(reload(directory.path()).unwrap().committed, LogIndex(3));
+    let mut disk = open(directory.path());
     disk.load().unwrap();
     disk.compact(&snapshot(2), LogIndex(3)).unwrap();
     drop(disk);
-    assert_eq!(reload(folder.path()).unwrap().committed, LogIndex(3));
+    assert_eq!(reload(directory.path()).unwrap().committed, LogIndex(3));
 }
 
 /// Guards against a restarted replica applying nothing until a leader is elected.
 #[test]
 fn restarted_replica_applies_committed_entries_without_a_leader() {
-    let folder = tempfile::tempdir().unwrap();
-    let (mut cluster, _) = disk_cluster(folder.path());
+    let directory = tempfile::tempdir().unwrap();
+    let (mut cluster, _) = disk_cluster(directory.path());
     for number in 0..10_u8 {
         cluster.propose(&[number]);
     }
     let leader = cluster.leader().unwrap();
     drop(cluster);
-    let disk = open(&folder.path().join(leader.0.to_string()));
+    let disk = open(&directory.path().join(leader.0.to_string()));
     let mut alone = Cluster::empty();
     alone.start(config(address(leader.0), voters(3)), disk);
     alone.settle();
--- a/crates/courseshed-consensus/tests/losing_members.rs
+++ b/crates/courseshed-consensus/tests/membership_during_failures.rs
@@ -72,8 +72,8 @@
     assert_eq!(cluster.leader(), None);
     cluster.isolated.clear();
     cluster.run(ELECTION * 2);
-    let new = cluster.leader().expect("a leader is elected again");
-    let members = cluster.group(new).peer().configuration();
+    let new_leader = cluster.leader().expect("a leader is elected again");
+    let members = cluster.group(new_leader).peer().configuration();
     assert!(members.member(leader).is_none(), "the removal is committed");
     cluster.propose(b"still going");
 }
@@ -88,19 +88,22 @@
         cluster.start(config, VolatileLog);
     }
     cluster.run(ELECTION);
-    let old = cluster.leader().unwrap();
-    cluster.isolated.insert(old);
+    let old_leader = cluster.leader().unwrap();
+    cluster.isolated.insert(old_leader);
     let now = cluster.now;
-    let lost = cluster.group(old).read_barrier(now).unwrap();
+    let lost = cluster.group(old_leader).read_barrier(now).unwrap();
     cluster.run(ELECTION);
     cluster.isolated.clear();
-    let new = cluster.leader().unwrap();
+    let new_leader = cluster.leader().unwrap();
     let now = cluster.now;
-    cluster.group(new).transfer_leadership(now, old).unwrap();
+    cluster
+        .group(new_leader)
+        .transfer_leadership(now, old_leader)
+        .unwrap();
     cluster.run(ELECTION);
-    assert_eq!(cluster.leader(), Some(old));
+    assert_eq!(cluster.leader(), Some(old_leader));
     let now = cluster.now;
-    let next = cluster.group(old).read_barrier(now).unwrap();
+    let next = cluster.group(old_leader).read_barrier(now).unwrap();
     cluster.settle();
     assert_ne!(lost, next);
     let answered: Vec<_> = cluster.reads.iter().map(|read| read.id).collect();
--- a/crates/courseshed-consensus/tests/support/mod.rs
+++ b/crates/courseshed-consensus/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! A cluster in one process with virtual time and a network that the test can cut.
+//! An in-process cluster with virtual time and a network with injectable partitions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -8,7 +8,7 @@
     ReplicaAddress, ReplicaId, ReplicatedGroup, RestoreError, StateMachine,
 };
 
-/// Appends every command to a list.
+/// A state machine that records every command.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Journal(pub Vec<Vec<u8>>);
 
@@ -21,7 +21,7 @@
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        rmp_serde::to_vec(&self.0).expect("a list of bytes can be encoded")
+        rmp_serde::to_vec(&self.0).expect("the commands can be encoded")
     }
 
     fn restore(&mut self, snapshot: &[u8]) -> Result<(), RestoreError> {
@@ -33,7 +33,7 @@
 
 pub type Group<S> = ReplicatedGroup<S, Journal>;
 
-/// Replicas, a clock, and the messages between them, delivered in order.
+/// A set of replicas with a shared clock and in-order message delivery.
 pub struct Cluster<S: LogStorage> {
     pub now: Duration,
     pub groups: BTreeMap<ReplicaId, Group<S>>,
@@ -77,7 +77,7 @@
         self.groups.insert(id, group.expect("the replica starts"));
     }
 
-    /// Delivers messages until there are none.
+    /// Delivers messages until none are pending.
     pub fn settle(&mut self) {
         loop {
             self.collect();
@@ -108,7 +108,7 @@
         }
     }
 
-    /// Lets time pass in small steps.
+    /// Advances the clock in steps, delivering messages after each step.
     pub fn run(&mut self, time: Duration) {
         const STEP: Duration = Duration::from_millis(10);
         let end = self.now + time;
@@ -134,14 +134,14 @@
     }
 
     pub fn group(&mut self, id: ReplicaId) -> &mut Group<S> {
-        self.groups.get_mut(&id).expect("the replica runs")
+        self.groups.get_mut(&id).expect("the replica is running")
     }
 
     pub fn propose(&mut self, data: &[u8]) {
         let leader = self.leader().expect("there is a leader");
         let now = self.now;
         let proposed = self.group(leader).propose(now, data.to_vec());
-        proposed.expect("the leader takes the proposal");
+        proposed.expect("the leader accepts the proposal");
         self.settle();
     }
 }
