--- a/crates/courseshed-node/src/dispatchers/table.rs
+++ b/crates/courseshed-node/src/dispatchers/table.rs
@@ -108,7 +108,7 @@
         let now = context.clock.now();
         let config = DispatcherConfig {
             max_waiting: context.settings.limits.waiting_calls as usize,
-            lease: context.settings.timeouts.cache_lease,
+            lease_ttl: context.settings.timeouts.cache_lease,
             ..DispatcherConfig::default()
         };
         let kind = PolicyKind::Courseshed;
--- a/crates/courseshed-node/src/metrics/mod.rs
+++ b/crates/courseshed-node/src/metrics/mod.rs
@@ -291,7 +291,7 @@
             ("cache_event_gap", |stats| stats.counters.event_gaps),
             ("lease_renewed", |stats| stats.counters.leases_renewed),
             ("lease_released", |stats| stats.counters.leases_released),
-            ("call_forgotten", |stats| stats.counters.forgotten_calls),
+            ("call_forgotten", |stats| stats.counters.dropped_calls),
         ];
         for (kind, of) in kinds {
             let labels = DispatchLabels { kind };
