--- a/crates/courseshed-edge/src/gateway/assign.rs
+++ b/crates/courseshed-edge/src/gateway/assign.rs
@@ -70,7 +70,7 @@
     /// Asks the pool scheduler, if the service is a pool.
     async fn schedule(&mut self, excluded: &[String]) -> Result<Scheduled, Refusal> {
         // Pool schedulers don't support region restrictions.
-        let is_scheduled = self.is_pool && !self.homes.is_restricted();
+        let is_scheduled = self.is_pool && !self.allowed_regions.is_restricted();
         if !is_scheduled || !self.core.policy.uses(Mechanism::PoolScheduler) {
             return Ok(Scheduled::Undecided);
         }
@@ -123,7 +123,7 @@
                 zone: &self.core.zone,
                 parts: &self.parts,
                 max_in_flight: table.share_of_limit(self.connection_limit),
-                homes: &self.homes,
+                allowed_regions: &self.allowed_regions,
             };
             table.choose(&demand, excluded, self.core.clock.now(), rand::random())?
         };
@@ -178,9 +178,9 @@
 
     /// The demand with up-to-date times and the given call number.
     fn refreshed(&self, demand: &CallDemand, number: u64) -> CallDemand {
-        let program = demand.program.map(|standing| ProgramContext {
+        let program = demand.program.map(|context| ProgramContext {
             time_left_ms: self.program_left_ms(),
-            ..standing
+            ..context
         });
         CallDemand {
             number,
--- a/crates/courseshed-edge/src/gateway/attempts.rs
+++ b/crates/courseshed-edge/src/gateway/attempts.rs
@@ -150,9 +150,9 @@
     pub log: CallLog,
     pub caller: Caller,
     /// The regions in which the request may be served and its turn stored.
-    pub homes: AllowedRegions,
+    pub allowed_regions: AllowedRegions,
     /// Whether the request is the first of a program.
-    pub standing: ProgramPhase,
+    pub phase: ProgramPhase,
     /// Memory held for the request.
     pub memory: RequestMemory,
     permit: Option<Permit>,
@@ -189,9 +189,9 @@
         Self {
             body: call.body.clone(),
             parts: affinity_segments(&call, &route),
-            homes: AllowedRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
+            allowed_regions: AllowedRegions::of(&route, caller.tenant().map(|tenant| &**tenant)),
             caller,
-            standing: ProgramPhase::Running,
+            phase: ProgramPhase::Running,
             memory,
             permit: None,
             version,
@@ -301,7 +301,7 @@
     /// The regions in which the turn may be stored; any if it isn't stored.
     pub(super) fn storage_regions(&self) -> &AllowedRegions {
         if self.route.stores_turns {
-            &self.homes
+            &self.allowed_regions
         } else {
             &AllowedRegions::ANY
         }
@@ -425,7 +425,7 @@
         if self.permit.is_some() || tenant.quota.is_none() {
             return Ok(());
         }
-        let permit = Quotas::acquire(&self.core, &tenant.name, self.standing, self.deadline);
+        let permit = Quotas::acquire(&self.core, &tenant.name, self.phase, self.deadline);
         self.permit = Some(permit.await?);
         Ok(())
     }
--- a/crates/courseshed-edge/src/gateway/choice.rs
+++ b/crates/courseshed-edge/src/gateway/choice.rs
@@ -42,7 +42,7 @@
     /// Maximum number of calls of this gateway at one server.
     pub max_in_flight: u32,
     /// The regions in which the call may be served.
-    pub homes: &'a AllowedRegions,
+    pub allowed_regions: &'a AllowedRegions,
 }
 
 /// The inputs of a server selection, for the access log.
@@ -86,7 +86,7 @@
                 .filter(|stats| self.is_eligible(&stats.server))
                 .filter(|stats| {
                     demand
-                        .homes
+                        .allowed_regions
                         .allows(self.zones.region_of(&stats.server.zone))
                 })
                 .filter(|stats| self.is_expected_warm(&stats.server, now))
@@ -148,7 +148,7 @@
         salt: u64,
     ) -> Option<&'a ServerStats> {
         let probed =
-            |stats: &&&ServerStats| self.standing(stats, now) == ServerAvailability::Probed;
+            |stats: &&&ServerStats| self.availability(stats, now) == ServerAvailability::Probed;
         if let Some(probed) = available.iter().find(probed) {
             return Some(probed);
         }
@@ -156,7 +156,7 @@
             .iter()
             .copied()
             .filter(|stats| stats.backoff_until <= now)
-            .filter(|stats| self.standing(stats, now) == ServerAvailability::Trusted)
+            .filter(|stats| self.availability(stats, now) == ServerAvailability::Trusted)
             .collect();
         let candidates = if trusted.is_empty() {
             available
@@ -192,12 +192,12 @@
         median_latency_ms: f64,
         now: Duration,
     ) -> CostInputs {
-        let uncached_tokens = if self.policy.uses(Mechanism::PromptMemory) {
+        let uncached_tokens = if self.policy.uses(Mechanism::PromptCache) {
             self.prompts.uncached_tokens(stats.key, demand.parts, now)
         } else {
             0
         };
-        let slowness = if self.policy.uses(Mechanism::ServerPace) {
+        let slowness = if self.policy.uses(Mechanism::ServerLatency) {
             stats.slowness(median_latency_ms)
         } else {
             1.0
--- a/crates/courseshed-edge/src/gateway/outcomes.rs
+++ b/crates/courseshed-edge/src/gateway/outcomes.rs
@@ -136,14 +136,14 @@
         }
     }
 
-    /// The standing of a server at this gateway.
-    pub(super) fn standing(&self, stats: &ServerStats, now: Duration) -> ServerAvailability {
+    /// Whether this gateway may send calls to a server.
+    pub(super) fn availability(&self, stats: &ServerStats, now: Duration) -> ServerAvailability {
         let turn = ProbeTurn {
             seed: self.seed ^ u64::from(stats.key.0),
             gateways: self.gateways,
             calls: stats.calls(),
         };
-        stats.avoidance.standing(turn, now)
+        stats.avoidance.availability(turn, now)
     }
 }
 
--- a/crates/courseshed-edge/src/gateway/policy.rs
+++ b/crates/courseshed-edge/src/gateway/policy.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Mechanism {
     /// Server selection considers which prompt segments servers have cached.
-    PromptMemory,
+    PromptCache,
     /// Stored turns record which server generated them.
     KeptTurnHints,
     /// Record stores report which servers have a program's prompts cached.
@@ -18,9 +18,9 @@
     /// Gateways share their in-flight call counts.
     SharedLoads,
     /// Servers that are slower than usual cost more.
-    ServerPace,
+    ServerLatency,
     /// Servers that failed or were at capacity are backed off.
-    Rests,
+    ServerBackoff,
     /// Repeatable calls without a timely response are retried at another server.
     SilenceLimit,
     /// All gateways prefer the same server for the same prompt.
@@ -38,12 +38,12 @@
 impl Mechanism {
     /// All mechanisms.
     pub const ALL: [Self; 12] = [
-        Self::PromptMemory,
+        Self::PromptCache,
         Self::KeptTurnHints,
         Self::ProgramHints,
         Self::SharedLoads,
-        Self::ServerPace,
-        Self::Rests,
+        Self::ServerLatency,
+        Self::ServerBackoff,
         Self::SilenceLimit,
         Self::SharedPreference,
         Self::OwnZone,
@@ -56,12 +56,12 @@
     #[must_use]
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::PromptMemory => "prompt-memory",
+            Self::PromptCache => "prompt-memory",
             Self::KeptTurnHints => "kept-turn-hints",
             Self::ProgramHints => "program-hints",
             Self::SharedLoads => "shared-loads",
-            Self::ServerPace => "server-pace",
-            Self::Rests => "rests",
+            Self::ServerLatency => "server-pace",
+            Self::ServerBackoff => "rests",
             Self::SilenceLimit => "silence-limit",
             Self::SharedPreference => "shared-preference",
             Self::OwnZone => "own-zone",
--- a/crates/courseshed-edge/src/gateway/program.rs
+++ b/crates/courseshed-edge/src/gateway/program.rs
@@ -181,7 +181,7 @@
     core: &Rc<GatewayCore>,
     call: &GatewayRequest,
     tenant: Option<&str>,
-    homes: &AllowedRegions,
+    allowed_regions: &AllowedRegions,
     deadline: Instant,
     memory: &RequestMemory,
 ) -> Result<ComposedBody, Refusal> {
@@ -189,7 +189,9 @@
     let program = call.program.as_ref().map_or("", |claim| &claim.program);
     let program = program_key(tenant, program);
     let Some(previous) = &call.previous_turn else {
-        let partition = core.records.partition_for_new_program(&program, homes);
+        let partition = core
+            .records
+            .partition_for_new_program(&program, allowed_regions);
         return Ok(ComposedBody {
             body: call.body.clone(),
             partition: partition.ok_or_else(|| no_partition(call))?,
@@ -205,7 +207,7 @@
         Err(unavailable) => return Err(refusal_for(unavailable)),
     };
     let partition = chain.partition;
-    if !core.records.may_keep(partition, homes) {
+    if !core.records.may_store_in(partition, allowed_regions) {
         return Err(no_partition(call));
     }
     let chain = chain.turns;
--- a/crates/courseshed-edge/src/gateway/quota.rs
+++ b/crates/courseshed-edge/src/gateway/quota.rs
@@ -64,11 +64,11 @@
     pub(super) async fn acquire(
         core: &Rc<GatewayCore>,
         tenant: &str,
-        standing: ProgramPhase,
+        phase: ProgramPhase,
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let began = Instant::now();
-        let acquired = Self::wait_for_permit(core, tenant, standing, deadline).await;
+        let acquired = Self::wait_for_permit(core, tenant, phase, deadline).await;
         core.metrics
             .permit_wait
             .observe(began.elapsed().as_secs_f64());
@@ -86,7 +86,7 @@
     async fn wait_for_permit(
         core: &Rc<GatewayCore>,
         tenant: &str,
-        standing: ProgramPhase,
+        phase: ProgramPhase,
         deadline: Instant,
     ) -> Result<Permit, Refusal> {
         let quotas = &core.quotas;
@@ -98,7 +98,7 @@
         let mut answered = 0;
         let mut waiting = None;
         loop {
-            match quotas.take(tenant, standing) {
+            match quotas.take(tenant, phase) {
                 Ok(()) => return Ok(Permit::new(core.clone(), tenant)),
                 Err(Shortage::ReservedForRunning) => return Err(quotas.over_quota(tenant)),
                 Err(Shortage::NoLocalPermit) => {}
@@ -120,9 +120,9 @@
         }
     }
 
-    fn take(&self, tenant: &str, standing: ProgramPhase) -> Result<(), Shortage> {
+    fn take(&self, tenant: &str, phase: ProgramPhase) -> Result<(), Shortage> {
         let now = self.clock.now();
-        self.holder.borrow_mut().acquire(now, tenant, standing)
+        self.holder.borrow_mut().acquire(now, tenant, phase)
     }
 
     fn is_exhausted(&self, tenant: &str) -> bool {
--- a/crates/courseshed-edge/src/gateway/servers.rs
+++ b/crates/courseshed-edge/src/gateway/servers.rs
@@ -368,7 +368,7 @@
 
     /// Records the result of a call.
     pub fn report(&mut self, id: &str, report: CallReport, now: Duration) {
-        let backs_off = self.policy.uses(Mechanism::Rests);
+        let backs_off = self.policy.uses(Mechanism::ServerBackoff);
         let shares_outcomes = self.policy.uses(Mechanism::SharedOutcomes);
         let Some(stats) = self.stats_mut(id) else {
             return;
--- a/crates/courseshed-edge/src/gateway/stream.rs
+++ b/crates/courseshed-edge/src/gateway/stream.rs
@@ -77,7 +77,7 @@
         attempts.cached_prompts.extend(reservation.take_hints());
     }
     if reservation.as_ref().is_some_and(TokenReservation::is_first) {
-        attempts.standing = ProgramPhase::New;
+        attempts.phase = ProgramPhase::New;
     }
     let last_event = attempts.call.last_event;
     let opened = match attempts.open(last_event).await {
--- a/crates/courseshed-edge/src/records/client.rs
+++ b/crates/courseshed-edge/src/records/client.rs
@@ -208,33 +208,36 @@
         QueryOrder::new(view, &self.zones, &self.zone).is_local(&self.zones, &self.zone)
     }
 
-    /// Like [`Self::home_of`] for turns restricted to some regions; prefers local partitions. None if no partition
-    /// has all its replicas in the allowed regions.
+    /// The partition of a new program whose turns are restricted to some regions; prefers local
+    /// partitions. None if no partition has all its replicas in the allowed regions.
     #[must_use]
     pub fn partition_for_new_program(
         &self,
         program: &str,
-        homes: &AllowedRegions,
+        allowed_regions: &AllowedRegions,
     ) -> Option<PartitionId> {
-        if !homes.is_restricted() {
+        if !allowed_regions.is_restricted() {
             return Some(self.home_of(program));
         }
         let records = self.follower.view().records;
         let near = records.preferred_partition(program, |view| {
-            self.is_within(view, homes) && self.is_local(view)
+            self.is_within(view, allowed_regions) && self.is_local(view)
         });
-        near.or_else(|| records.preferred_partition(program, |view| self.is_within(view, homes)))
+        near.or_else(|| {
+            records.preferred_partition(program, |view| self.is_within(view, allowed_regions))
+        })
     }
 
     /// Whether all replicas of a partition, including joining ones, are in the allowed regions.
     #[must_use]
-    pub fn may_keep(&self, partition: PartitionId, homes: &AllowedRegions) -> bool {
+    pub fn may_store_in(&self, partition: PartitionId, allowed_regions: &AllowedRegions) -> bool {
         let records = self.follower.view().records;
-        !homes.is_restricted() || self.is_within(records.view(partition), homes)
+        !allowed_regions.is_restricted() || self.is_within(records.view(partition), allowed_regions)
     }
 
-    fn is_within(&self, view: &RecordView, homes: &AllowedRegions) -> bool {
-        let is_allowed = |member: &RecordMember| homes.allows(self.zones.region_of(&member.zone));
+    fn is_within(&self, view: &RecordView, allowed_regions: &AllowedRegions) -> bool {
+        let is_allowed =
+            |member: &RecordMember| allowed_regions.allows(self.zones.region_of(&member.zone));
         !view.members.is_empty() && view.members.iter().all(is_allowed)
     }
 
--- a/crates/courseshed-edge/tests/choice.rs
+++ b/crates/courseshed-edge/tests/choice.rs
@@ -47,7 +47,7 @@
         zone: "a",
         parts,
         max_in_flight: u32::MAX,
-        homes: &AllowedRegions::ANY,
+        allowed_regions: &AllowedRegions::ANY,
     }
 }
 
@@ -292,9 +292,9 @@
         ..support::plain_route()
     };
     let chosen = |regions: &[&str], excluded: &[String]| {
-        let homes = AllowedRegions::of(&restricted(regions), None);
+        let allowed_regions = AllowedRegions::of(&restricted(regions), None);
         let demand = Demand {
-            homes: &homes,
+            allowed_regions: &allowed_regions,
             ..demand(&[])
         };
         let chosen = table.choose(&demand, excluded, NOW, 7);
--- a/crates/courseshed-edge/tests/cost.rs
+++ b/crates/courseshed-edge/tests/cost.rs
@@ -144,7 +144,7 @@
         zone: "near",
         parts,
         max_in_flight,
-        homes: &AllowedRegions::ANY,
+        allowed_regions: &AllowedRegions::ANY,
     };
     table.choose(&demand, &[], NOW, 7).map(|chosen| chosen.id)
 }
--- a/crates/courseshed-edge/tests/failing_servers.rs
+++ b/crates/courseshed-edge/tests/failing_servers.rs
@@ -150,7 +150,7 @@
                 zone: "a",
                 parts: &[],
                 max_in_flight: 100,
-                homes: &AllowedRegions::ANY,
+                allowed_regions: &AllowedRegions::ANY,
             };
             let now = Duration::from_millis(at);
             let table = &mut self.gateways[gateway];
--- a/crates/courseshed-edge/tests/forwarding.rs
+++ b/crates/courseshed-edge/tests/forwarding.rs
@@ -138,8 +138,8 @@
 async fn server_that_fails_streams_is_avoided() {
     const MAX_CALLS: usize = 2_000;
     let policy = Policy::without([
-        Mechanism::Rests,
-        Mechanism::ServerPace,
+        Mechanism::ServerBackoff,
+        Mechanism::ServerLatency,
         Mechanism::PoolScheduler,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
@@ -174,8 +174,8 @@
     const CALLS: usize = 40;
     const ROUNDS: usize = 5;
     let policy = Policy::without([
-        Mechanism::Rests,
-        Mechanism::ServerPace,
+        Mechanism::ServerBackoff,
+        Mechanism::ServerLatency,
         Mechanism::PoolScheduler,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
@@ -207,7 +207,7 @@
 #[actix_rt::test]
 async fn repeatable_call_whose_response_is_lost_is_retried_on_another_server() {
     const ANSWERED: usize = 30;
-    let policy = Policy::without([Mechanism::ServerPace]);
+    let policy = Policy::without([Mechanism::ServerLatency]);
     let fleet = Fleet::start_with(GRACE, policy).await;
     let mut answered = 0;
     let unresponsive = MockServer::start(move |request| {
--- a/crates/courseshed-edge/tests/policy.rs
+++ b/crates/courseshed-edge/tests/policy.rs
@@ -45,7 +45,7 @@
         zone: "near",
         parts: &PROMPT,
         max_in_flight: u32::MAX,
-        homes: &AllowedRegions::ANY,
+        allowed_regions: &AllowedRegions::ANY,
     };
     (0..100)
         .filter_map(|tie| table.choose(&demand, &[], NOW, tie))
@@ -82,9 +82,9 @@
 fn record_nothing(_: &mut ServerTable) {}
 
 #[parameterized(
-    prompt_memory = { Mechanism::PromptMemory, "near", record_cached_prompt },
-    server_pace = { Mechanism::ServerPace, "near", record_slow_calls },
-    rests = { Mechanism::Rests, "near", record_failure },
+    prompt_memory = { Mechanism::PromptCache, "near", record_cached_prompt },
+    server_pace = { Mechanism::ServerLatency, "near", record_slow_calls },
+    rests = { Mechanism::ServerBackoff, "near", record_failure },
     shared_outcomes = { Mechanism::SharedOutcomes, "near", record_errors },
     own_zone = { Mechanism::OwnZone, "far", record_nothing },
 )]
--- a/crates/courseshed-edge/tests/pool_scheduling.rs
+++ b/crates/courseshed-edge/tests/pool_scheduling.rs
@@ -470,8 +470,8 @@
     const CALLS: usize = 400;
     const MAX_FAILED: usize = CALLS / 20;
     let policy = Policy::without([
-        Mechanism::Rests,
-        Mechanism::ServerPace,
+        Mechanism::ServerBackoff,
+        Mechanism::ServerLatency,
         Mechanism::SharedOutcomes,
     ]);
     let fleet = Fleet::start_with(GRACE, policy).await;
--- a/crates/courseshed-edge/tests/support/large_fleet.rs
+++ b/crates/courseshed-edge/tests/support/large_fleet.rs
@@ -53,7 +53,7 @@
         zone: "zone-1",
         parts: prompt,
         max_in_flight: u32::MAX,
-        homes: &AllowedRegions::ANY,
+        allowed_regions: &AllowedRegions::ANY,
     };
     table.choose(&demand, &[], NOW, tie).map(|chosen| chosen.id)
 }
--- a/crates/courseshed-quota/src/holder.rs
+++ b/crates/courseshed-quota/src/holder.rs
@@ -126,7 +126,7 @@
         &mut self,
         now: Duration,
         tenant: &str,
-        standing: ProgramPhase,
+        phase: ProgramPhase,
     ) -> Result<(), Shortage> {
         let occupancy = self.terms.occupancy();
         let is_leased = now < self.lease_expires_at;
@@ -134,7 +134,7 @@
             return Err(Shortage::NoLocalPermit);
         };
         entry.expire_sends(now, occupancy);
-        if standing == ProgramPhase::New && entry.is_reserved_for_running(now) {
+        if phase == ProgramPhase::New && entry.is_reserved_for_running(now) {
             return Err(Shortage::ReservedForRunning);
         }
         if !is_leased || entry.used() >= entry.permits {
--- a/crates/courseshed-registry/src/avoidance.rs
+++ b/crates/courseshed-registry/src/avoidance.rs
@@ -221,7 +221,7 @@
 
     /// How a gateway should treat the server now.
     #[must_use]
-    pub fn standing(&self, turn: ProbeTurn, now: Duration) -> ServerAvailability {
+    pub fn availability(&self, turn: ProbeTurn, now: Duration) -> ServerAvailability {
         match self.phase {
             Phase::Trusted => ServerAvailability::Trusted,
             Phase::Backoff { .. } => ServerAvailability::Avoided,
--- a/crates/courseshed-registry/tests/outcomes.rs
+++ b/crates/courseshed-registry/tests/outcomes.rs
@@ -114,21 +114,21 @@
         changes[1]
     }
 
-    fn standing(&self) -> ServerAvailability {
-        self.avoidances[1].standing(TURN, self.now)
+    fn availability(&self) -> ServerAvailability {
+        self.avoidances[1].availability(TURN, self.now)
     }
 
     /// Waits for the next probe and answers it. Returns the waiting time and the resulting
     /// transition.
     fn probe(&mut self, outcome: ServerOutcome) -> (Duration, Option<AvoidanceChange>) {
         let start = self.now;
-        while self.standing() != ServerAvailability::Probed {
+        while self.availability() != ServerAvailability::Probed {
             self.now += Duration::from_millis(10);
             assert_eq!(self.advance(), None);
         }
         self.avoidances[1].record_sent(self.now);
         assert_eq!(
-            self.standing(),
+            self.availability(),
             ServerAvailability::Avoided,
             "one probe at a time"
         );
@@ -154,7 +154,7 @@
     for expected in [None, None, None, Some(AvoidanceChange::Ended)] {
         assert_eq!(avoided.probe(ServerOutcome::Answered).1, expected);
     }
-    assert_eq!(avoided.standing(), ServerAvailability::Trusted);
+    assert_eq!(avoided.availability(), ServerAvailability::Trusted);
     assert_eq!(
         avoided.advance(),
         None,
@@ -187,8 +187,8 @@
     avoided.probe(ServerOutcome::Answered);
     avoided.now += Duration::from_secs(1);
     let busy = ProbeTurn { calls: 1, ..TURN };
-    let standing = avoided.avoidances[1].standing(busy, avoided.now);
-    assert_eq!(standing, ServerAvailability::Avoided);
+    let availability = avoided.avoidances[1].availability(busy, avoided.now);
+    assert_eq!(availability, ServerAvailability::Avoided);
 }
 
 #[test]
@@ -216,11 +216,11 @@
     avoided.avoidances[1].set_in_flight(2);
     avoided.now += Duration::from_millis(600);
     avoided.advance();
-    let standing = |avoided: &AvoidedServer, calls| {
-        avoided.avoidances[1].standing(with_calls(calls), avoided.now)
+    let availability = |avoided: &AvoidedServer, calls| {
+        avoided.avoidances[1].availability(with_calls(calls), avoided.now)
     };
-    assert_eq!(standing(&avoided, 2), ServerAvailability::Probed);
-    assert_eq!(standing(&avoided, 3), ServerAvailability::Avoided);
+    assert_eq!(availability(&avoided, 2), ServerAvailability::Probed);
+    assert_eq!(availability(&avoided, 3), ServerAvailability::Avoided);
     avoided.avoidances[1].set_in_flight(1);
-    assert_eq!(standing(&avoided, 2), ServerAvailability::Avoided);
+    assert_eq!(availability(&avoided, 2), ServerAvailability::Avoided);
 }
--- a/crates/courseshed-routing/tests/table.rs
+++ b/crates/courseshed-routing/tests/table.rs
@@ -150,11 +150,11 @@
         allowed_regions: names(of_tenant),
         ..tenant("t", &["k"])
     };
-    let homes = AllowedRegions::of(&route, Some(&tenant));
+    let allowed_regions = AllowedRegions::of(&route, Some(&tenant));
     for region in ["north", "south", "east"] {
         let expected = allowed.contains(&region) || allows_unknown;
-        assert_eq!(homes.allows(Some(region)), expected, "{region}");
+        assert_eq!(allowed_regions.allows(Some(region)), expected, "{region}");
     }
-    assert_eq!(homes.allows(None), allows_unknown);
-    assert_eq!(homes.is_restricted(), !allows_unknown);
+    assert_eq!(allowed_regions.allows(None), allows_unknown);
+    assert_eq!(allowed_regions.is_restricted(), !allows_unknown);
 }
