--- a/crates/courseshed-edge/src/gateway/access.rs
+++ b/crates/courseshed-edge/src/gateway/access.rs
@@ -1,7 +1,7 @@
 //! Authenticates calls and checks that their API keys are still valid.
 //!
-//! Invariant: a call is sent to a server only while its key belongs to the tenant that the server
-//! is told, according to a routing table proven current less than [`AccessPolicy::proof_ttl`] ago.
+//! Invariant: a call is sent to a server only while its key belongs to the tenant that is named to
+//! the server, according to a routing table proven current less than [`AccessPolicy::proof_ttl`] ago.
 //! The age of the proof is measured from when this gateway sent the request that a controller
 //! answered on behalf of the leader, so no clocks of different machines are compared. In the worst
 //! case the proof was issued just before a revocation was acknowledged, and the call is sent
--- a/crates/courseshed-edge/src/protocol.rs
+++ b/crates/courseshed-edge/src/protocol.rs
@@ -129,7 +129,7 @@
     ShareLoad(LoadReport),
     /// Reports a gateway's use of tenants' permits; for the leader.
     Quota(QuotaReport),
-    /// Asks the scheduler of a pool for an engine; held for a while if none has capacity.
+    /// Asks the scheduler of a pool for an engine; waits briefly if none has capacity.
     Schedule {
         /// The service that the pool serves.
         service: String,
